--- a/berylhollow/gateway/_adapters.py
+++ b/berylhollow/gateway/_adapters.py
@@ -1,8 +1,8 @@
-"""Adapters at direct endpoints: who waits for which, and where.
+"""Requests that wait for adapters, and the demand reported to sidecars.
 
 A direct endpoint refuses a request whose adapter it does not hold, so what
-is known here is only a hint that saves the trip. Its sidecar loads what the
-gateways ask it for.
+the gateway knows of it is a hint that saves a round trip. The endpoint's
+sidecar loads the adapters that gateways report demand for.
 """
 
 from berylhollow import clock
@@ -17,16 +17,17 @@
 Effects = list[effects.Effect]
 
 
-def version_at(
+def runnable_version(
     state: _state.State,
     active: _state.ActiveRequest,
     name: str,
     at_ms: int,
 ) -> messages.AdapterVersion | None:
-    """Return the version of its adapter that a request may run on there.
+    """Return the adapter version that a request can run with there now.
 
-    None if the endpoint holds none, or the request needs none. Behind a
-    link the sidecar decides, so the version that was asked for is returned.
+    None if a direct endpoint holds no acceptable version, or the request
+    needs no adapter. For an endpoint that is not direct the sidecar decides,
+    so the requested version is returned.
     """
     wanted = active.request.adapter
     if wanted is None or not state.endpoints[name].instance.direct:
@@ -37,25 +38,25 @@
     return None
 
 
-def ready(
+def is_ready(
     state: _state.State,
     active: _state.ActiveRequest,
     name: str,
     at_ms: int,
 ) -> bool:
-    """Tell whether a request can be sent to an endpoint at once."""
+    """Tell whether an endpoint has the adapter that a request needs."""
     if active.request.adapter is None:
         return True
-    return version_at(state, active, name, at_ms) is not None
+    return runnable_version(state, active, name, at_ms) is not None
 
 
 def may_wait(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> bool:
-    """Tell whether waiting for the adapter still makes sense.
+    """Tell whether a request may keep waiting for its adapter.
 
-    Past a share of the objective the answer would be late whatever happens;
-    refused in time, the request may come back when the adapter is there.
+    Once a share of its latency objective has passed, the answer would be late
+    anyway. Refused in time, it can be sent again when the adapter is loaded.
     """
     since_ms = active.awaiting_since_ms
     if since_ms is None:
@@ -65,43 +66,46 @@
     return at_ms - since_ms < longest_ms
 
 
-def wait(
+def wait_for_load(
     state: _state.State,
     active: _state.ActiveRequest,
     name: str,
     at_ms: int,
 ) -> Effects:
-    """Ask for the adapter at an endpoint and look again soon."""
-    first = active.awaiting != name
+    """Let a request wait for its adapter; report the demand if it is new.
+
+    The request is placed again after a short interval.
+    """
+    is_new = active.awaiting != name
     if active.awaiting_since_ms is None:
         active.awaiting_since_ms = at_ms
-    if first:
-        leave(state, active)
+    if is_new:
+        stop_waiting(state, active)
         active.awaiting = name
         waiting = state.awaiting.setdefault(name, {})
         waiting[active.request.request_id] = None
-        _backlog.awaited(state.endpoints[name], active)
+        _backlog.add_request(state.endpoints[name], active)
     active.retry_at_ms = at_ms + state.options.adapter_check_ms
-    if not first:
+    if not is_new:
         return []
-    done = tell(state, _sidecar_of(state, name), at_ms)
+    result = tell(state, _sidecar_peer(state, name), at_ms)
     fields = (
         ('request_id', active.request.request_id),
         ('adapter', str(active.request.adapter)),
         ('endpoint', name),
         ('waited_ms', at_ms - active.awaiting_since_ms),
     )
-    return [*done, effects.Log('request waits for its adapter', fields)]
+    return [*result, effects.Log('request waits for its adapter', fields)]
 
 
-def leave(state: _state.State, active: _state.ActiveRequest) -> None:
-    """The request no longer waits where it did."""
+def stop_waiting(state: _state.State, active: _state.ActiveRequest) -> None:
+    """Remove a request from those waiting for an adapter."""
     name = active.awaiting
     active.awaiting = ''
     waiting = state.awaiting.get(name, {})
     if active.request.request_id in waiting:
         del waiting[active.request.request_id]
-        _backlog.left(state.endpoints[name], active)
+        _backlog.remove_request(state.endpoints[name], active)
 
 
 def waiting_at(state: _state.State, name: str) -> list[_state.ActiveRequest]:
@@ -112,7 +116,7 @@
 
 
 def tell(state: _state.State, peer: str, at_ms: int) -> Effects:
-    """Tell a sidecar what is needed of its endpoint."""
+    """Send a sidecar the adapter demand at its endpoint."""
     sidecar = state.sidecars.get(peer)
     name = state.beside.get(peer, '')
     endpoint = state.endpoints.get(name)
@@ -120,65 +124,72 @@
         return []
     if sidecar.link is not _state.LinkPhase.OPEN:
         return []
-    demands = _demands(state, peer, name, endpoint, at_ms)
+    demands = _build_demands(state, peer, name, endpoint, at_ms)
     sidecar.told_ms = at_ms
     sidecar.told_tokens = demands.waiting_tokens
     return [effects.Send(peer, demands)]
 
 
-def use_began(state: _state.State, active: _state.ActiveRequest) -> None:
-    """An attempt was placed at its endpoint."""
-    _tell_soon(state, active, uses_then=1)
+def note_attempt_placed(
+    state: _state.State, active: _state.ActiveRequest
+) -> None:
+    """Report the adapter's use soon if this attempt is its first there."""
+    _tell_soon(state, active, uses_at_change=1)
 
 
-def use_ended(state: _state.State, active: _state.ActiveRequest) -> None:
-    """An attempt has left its endpoint."""
-    _tell_soon(state, active, uses_then=0)
+def note_attempt_removed(
+    state: _state.State, active: _state.ActiveRequest
+) -> None:
+    """Report the adapter's use soon if no attempt uses it there any more."""
+    _tell_soon(state, active, uses_at_change=0)
 
 
 def _tell_soon(
-    state: _state.State, active: _state.ActiveRequest, uses_then: int
+    state: _state.State, active: _state.ActiveRequest, uses_at_change: int
 ) -> None:
-    """Tell the sidecar of a use at the next tick, if it has others waiting.
-
-    Only gateways know which adapters are in use. Where every slot is, one
-    that falls free is known only by their next word, and stood empty until
-    then: a third of the slots' time where runs take half a second. Without
-    anybody waiting the regular pause will do, which bounds the traffic; nor
-    is anything counted then. ``uses_then`` is how many attempts use an
-    adapter that has just come into use, or fallen out of it.
+    """Report demand at the next tick if loads wait and a use has changed.
+
+    Only gateways know which adapters are in use. When all slots are in use,
+    the sidecar learns of a free one from the gateways' next report. With
+    reports at the regular interval only, slots stood empty for a third of the
+    time where runs take half a second. While no load waits there, the regular
+    interval is enough and bounds the traffic, and no uses are counted.
+
+    ``uses_at_change`` is the number of attempts using the adapter right after
+    its use has begun (1) or ended (0).
     """
     endpoint = state.endpoints.get(active.endpoint)
     adapter = active.request.adapter
     if endpoint is None or adapter is None or not endpoint.instance.direct:
         return
-    sidecar = state.sidecars.get(_sidecar_of(state, active.endpoint))
+    sidecar = state.sidecars.get(_sidecar_peer(state, active.endpoint))
     if sidecar is None or sidecar.report is None:
         return
     if not sidecar.report.wanted:
         return
-    uses = _in_flight(state, endpoint).get(adapter.adapter, 0)
-    if uses == uses_then:
+    uses = _in_flight_by_adapter(state, endpoint).get(adapter.adapter, 0)
+    if uses == uses_at_change:
         sidecar.told_ms = clock.NEVER_MS
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Tell every sidecar now and then: it forgets what it is not told."""
-    done: Effects = []
+    """Send demand reports that are due; sidecars forget old ones."""
+    result: Effects = []
     for peer, sidecar in state.sidecars.items():
-        if _due(state, peer, sidecar, at_ms):
-            done += tell(state, peer, at_ms)
-    return done
+        if _is_demand_due(state, peer, sidecar, at_ms):
+            result += tell(state, peer, at_ms)
+    return result
 
 
-def _due(
+def _is_demand_due(
     state: _state.State, peer: str, sidecar: _state.Sidecar, at_ms: int
 ) -> bool:
-    """Tell whether a sidecar has to be told something now.
+    """Tell whether a sidecar is due a report of the demand.
 
-    Soon of what is in use or waits at its endpoint: that decides what is
-    evicted there and where others send their requests. Of the rest now and
-    then: all gateways with all sidecars are thousands of links.
+    Adapters in use and waiting requests are reported at short intervals,
+    since they decide what the sidecar evicts and where other gateways send
+    their requests. Idle endpoints get reports at a long interval, because all
+    gateways and all sidecars together have thousands of links.
     """
     age_ms = at_ms - sidecar.told_ms
     if age_ms >= state.options.idle_demand_ms:
@@ -190,36 +201,38 @@
     in_use = endpoint.placed or state.awaiting.get(name)
     if in_use and age_ms >= state.options.demand_ms:
         return True
-    news = abs(endpoint.waiting_tokens - sidecar.told_tokens)
-    return news >= _backlog.NEWS_TOKENS
+    change = abs(endpoint.waiting_tokens - sidecar.told_tokens)
+    return change >= _backlog.MIN_REPORTED_CHANGE_TOKENS
 
 
-def _sidecar_of(state: _state.State, name: str) -> str:
+def _sidecar_peer(state: _state.State, name: str) -> str:
+    """Return the peer name of the sidecar beside an endpoint."""
     address = state.endpoints[name].instance.address
     return addresses.beside(address)
 
 
-def _demands(
+def _build_demands(
     state: _state.State,
     peer: str,
     name: str,
     endpoint: _state.Endpoint,
     at_ms: int,
 ) -> messages.AdapterDemands:
-    view = state.follower.current
+    """Return the message that reports the demand at an endpoint."""
+    configuration = state.follower.current
     service = endpoint.instance.service
     waiting: dict[str, int] = {}
     for active in waiting_at(state, name):
         adapter = active.request.adapter.adapter
         waiting[adapter] = waiting.get(adapter, 0) + 1
-    in_flight = _in_flight(state, endpoint)
-    held = _held(endpoint)
+    in_flight = _in_flight_by_adapter(state, endpoint)
+    held = _held_adapters(endpoint)
     entries = []
     for adapter in dict.fromkeys([*waiting, *in_flight, *held]):
-        nameless = messages.AdapterVersion(adapter, '')
-        newest = view.acceptable(nameless, at_ms)[0]
+        any_version = messages.AdapterVersion(adapter, '')
+        newest = configuration.acceptable(any_version, at_ms)[0]
         holders = len(state.placement.ready.get(newest, ()))
-        rate = state.demand.rate(nameless, at_ms)
+        rate = state.demand.rate(any_version, at_ms)
         entry = messages.AdapterDemand(
             newest,
             waiting.get(adapter, 0),
@@ -228,8 +241,8 @@
         )
         if entry.waiting or entry.in_flight or entry.rate:
             entries.append(entry)
-    slots = view.adapter_slots(service)
-    models = view.models(service)
+    slots = configuration.adapter_slots(service)
+    models = configuration.models(service)
     incarnation = endpoint.instance.incarnation or messages.Incarnation(name)
     return messages.AdapterDemands(
         incarnation.name,
@@ -238,16 +251,17 @@
         models,
         tuple(entries),
         incarnation.started_ms,
-        _model_loads.hold(state, name),
+        _model_loads.should_hold(state, name),
         endpoint.waiting_tokens,
         _shared_reads.listens_to(state, peer),
-        view.revision,
+        configuration.revision,
     )
 
 
-def _in_flight(
+def _in_flight_by_adapter(
     state: _state.State, endpoint: _state.Endpoint
 ) -> dict[str, int]:
+    """Return how many attempts use each adapter at an endpoint."""
     counts: dict[str, int] = {}
     for attempt_id in endpoint.placed:
         active = state.request_of(attempt_id)
@@ -258,7 +272,8 @@
     return counts
 
 
-def _held(endpoint: _state.Endpoint) -> list[str]:
+def _held_adapters(endpoint: _state.Endpoint) -> list[str]:
+    """Return the adapters in an endpoint's slots, as last reported."""
     report = endpoint.report
     if report is None:
         return []
--- a/berylhollow/gateway/_attempt_links.py
+++ b/berylhollow/gateway/_attempt_links.py
@@ -1,4 +1,4 @@
-"""Attempts behind links: what a link that opens or breaks means for them."""
+"""Attempts whose link to an endpoint has opened or closed."""
 
 from berylhollow import effects
 from berylhollow import events
@@ -10,7 +10,7 @@
 
 
 def opened(state: _state.State, event: events.LinkOpened) -> Effects:
-    """Resume what was in flight on this link before it broke."""
+    """Mark a link as open and resume the attempts in flight on it."""
     endpoint = state.endpoints.get(event.peer)
     if endpoint is None:
         return state.follower.handle(event)
@@ -25,21 +25,23 @@
         endpoint.leaving = True
     if not endpoint.leaving:
         endpoint.refusals = 0
-    done = state.follower.handle(event)
+    result = state.follower.handle(event)
     for attempt_id in sorted(endpoint.placed):
         active = state.request_of(attempt_id)
         if active is not None:
-            done += _resume(state, active, event)
-    return done
+            result += _resume_attempt(state, active, event)
+    return result
 
 
 def closed(state: _state.State, event: events.LinkClosed) -> Effects:
-    """Give the attempts on a broken link some time to be resumed."""
+    """Mark a link as closed and set the deadline to resume its attempts."""
     endpoint = state.endpoints.get(event.peer)
     if endpoint is None:
         return state.follower.handle(event)
     endpoint.link = _state.LinkPhase.CLOSED
-    endpoint.retry_link_at_ms = event.at_ms + _pause_ms(state, event.peer)
+    endpoint.retry_link_at_ms = event.at_ms + _reopen_delay_ms(
+        state, event.peer
+    )
     for attempt_id in endpoint.placed:
         active = state.request_of(attempt_id)
         if active is not None and active.resume_by_ms is None:
@@ -47,11 +49,11 @@
     return state.follower.handle(event)
 
 
-def _pause_ms(state: _state.State, peer: str) -> int:
-    """Return when to open a link again that closed.
+def _reopen_delay_ms(state: _state.State, peer: str) -> int:
+    """Return the delay before a closed link is opened again.
 
-    At once if callers wait for answers on it. One to a leaving endpoint is
-    only opened to see whether another process took its place.
+    There is none if attempts are in flight on the link. A link to a draining
+    endpoint is opened only to detect a new process at its address.
     """
     endpoint = state.endpoints[peer]
     if endpoint.placed or endpoint.moved:
@@ -63,15 +65,15 @@
     return max(pause_ms, state.options.leaving_retry_ms)
 
 
-def _resume(
+def _resume_attempt(
     state: _state.State,
     active: _state.ActiveRequest,
     event: events.LinkOpened,
 ) -> Effects:
-    """Resume at the same process, or take the attempt for lost.
+    """Resume an attempt, or fail it if the endpoint's process is new.
 
-    A new incarnation never heard of the attempt, but the old one may have
-    run it: the outcome is unknown.
+    A new incarnation knows nothing of the attempt, but the old one may have
+    run it, so the outcome is unknown.
     """
     if active.incarnation != event.incarnation:
         return _attempts.resume_failed(state, active, event.at_ms)
--- a/berylhollow/gateway/_attempts.py
+++ b/berylhollow/gateway/_attempts.py
@@ -1,8 +1,8 @@
-"""Attempts: offer a request to a sidecar, follow it, try another.
+"""Life cycle of attempts: offer, answer, failure, retry and final error.
 
-An attempt is offered once and to one sidecar. After a broken link the
-gateway asks to resume; it never offers the same attempt again, since the
-first offer may have arrived.
+An attempt is offered once, to one endpoint. After its link has broken, the
+gateway asks the sidecar to resume the attempt and never offers it again,
+since the first offer may have arrived.
 """
 
 import dataclasses
@@ -28,8 +28,8 @@
 from berylhollow import messages
 
 Effects = list[effects.Effect]
-# Another endpoint would say the same.
-FINAL_KINDS = frozenset(
+# Not retried: every other endpoint would fail the request in the same way.
+NON_RETRYABLE_KINDS = frozenset(
     {
         errors.Kind.CANCELLED,
         errors.Kind.CANNOT_BE_ON_TIME,
@@ -37,24 +37,33 @@
         errors.Kind.QUARANTINED,
     }
 )
-# The endpoint went down with the attempt.
-LOST_KINDS = frozenset(
+# The endpoint or its engine went down while it had the attempt.
+ENDPOINT_LOST_KINDS = frozenset(
     {errors.Kind.ENGINE_RESTARTED, errors.Kind.OUTCOME_UNKNOWN}
 )
-# The endpoint takes nothing more under this name, whatever the list says.
-GONE_KINDS = frozenset({errors.Kind.ENDPOINT_REPLACED, errors.Kind.LEAVING})
-# Tried again after a pause, with jitter: the endpoints are busy.
-PAUSED_KINDS = frozenset({errors.Kind.OVERLOADED})
+# The endpoint accepts no more requests under this instance name, even if the
+# instance list still has it.
+ENDPOINT_GONE_KINDS = frozenset(
+    {errors.Kind.ENDPOINT_REPLACED, errors.Kind.LEAVING}
+)
+# Retried after a back-off with jitter, since the endpoints are busy.
+BACKOFF_KINDS = frozenset({errors.Kind.OVERLOADED})
 
-RESTARTED_PAUSES = 6
-"""Pauses after a refusal by an engine that restarted: two attempts later its
-sidecar has read its status, which it does twice a second."""
+RESTART_BACKOFF_FACTOR = 6
+"""Back-off, in units of the retry pause, after a restarted engine has refused
+an attempt. Its sidecar reads the engine's status twice a second, so it has
+read the new status within two attempts."""
 
 
 def place(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> Effects:
-    """Offer a waiting request to the endpoint that suits it best."""
+    """Offer a waiting request to an endpoint, or fail or postpone it.
+
+    Checks the attempt limit, quarantine, workspace and quota first. A request
+    without a suitable endpoint, or whose adapter is not loaded at the chosen
+    one, may stay waiting and be placed again later.
+    """
     if active.attempts >= state.options.attempts:
         return give_up(
             state, active, errors.Kind.OVERLOADED, errors.Ran.NOT_RUN
@@ -77,13 +86,13 @@
     if wait_ms:
         kind = errors.Kind.QUOTA_EXCEEDED
         return give_up(state, active, kind, errors.Ran.NOT_RUN, wait_ms)
-    asked = _rate_limits.missed(state, active, at_ms)
+    rate_requests = _rate_limits.missed(state, active, at_ms)
     name = _routing.choose(state, active, at_ms)
     if name is None:
-        return asked + _nowhere(state, active, at_ms)
-    if not _adapters.ready(state, active, name, at_ms):
-        return asked + _await_adapter(state, active, name, at_ms)
-    return asked + _offer(state, active, name, at_ms)
+        return rate_requests + _handle_no_endpoint(state, active, at_ms)
+    if not _adapters.is_ready(state, active, name, at_ms):
+        return rate_requests + _await_adapter(state, active, name, at_ms)
+    return rate_requests + _offer(state, active, name, at_ms)
 
 
 def _await_adapter(
@@ -92,27 +101,28 @@
     name: str,
     at_ms: int,
 ) -> Effects:
-    """Let a request wait for its adapter, unless that would take too long."""
+    """Wait for the adapter to load, or fail after the longest wait."""
     if not _adapters.may_wait(state, active, at_ms):
         retry_after_ms = state.options.adapter_retry_ms
         kind = errors.Kind.LOAD_FAILED
         return give_up(state, active, kind, errors.Ran.NOT_RUN, retry_after_ms)
-    return _adapters.wait(state, active, name, at_ms)
+    return _adapters.wait_for_load(state, active, name, at_ms)
 
 
-def _nowhere(
+def _handle_no_endpoint(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> Effects:
-    """No endpoint is left to try: say what the last one said.
+    """Handle a request that no endpoint can take: postpone it or fail it.
 
-    A gateway that has just started may only not have its links yet. Guards
-    against requests that fail when all gateways are replaced at once and the
-    balancer has nobody else.
+    It fails with the last endpoint's refusal, if there was one. A gateway
+    that has just started may not have opened its links yet, so it tries
+    again. Otherwise requests would fail when all gateways are replaced at
+    once and the balancer has no other gateway to send them to.
     """
-    limited = _rate_limits.without_room(state, active, at_ms)
-    if limited and not active.may_have_run:
-        return _no_room(state, active, limited, at_ms)
-    pause_ms = _pauses.wait_ms(state, active, at_ms)
+    rate_limited = _rate_limits.without_room(state, active, at_ms)
+    if rate_limited and not active.may_have_run:
+        return _handle_rate_limits(state, active, rate_limited, at_ms)
+    pause_ms = _pauses.retry_after_ms(state, active, at_ms)
     if pause_ms and not active.may_have_run:
         kind = errors.Kind.OVERLOADED
         return give_up(state, active, kind, errors.Ran.NOT_RUN, pause_ms)
@@ -127,19 +137,19 @@
     return give_up(state, active, last.kind, last.ran, last.retry_after_ms)
 
 
-def _no_room(
+def _handle_rate_limits(
     state: _state.State,
     active: _state.ActiveRequest,
-    limited: list[_state.Endpoint],
+    rate_limited: list[_state.Endpoint],
     at_ms: int,
 ) -> Effects:
-    """Only endpoints whose limit is used up are left.
+    """Handle a request for which only rate-limited endpoints are left.
 
-    Refused at once with the time at which there is room, unless a lender
-    was asked and answers in a moment.
+    It is refused at once with the time until the limit allows a request,
+    unless a lender was asked for a loan and may answer in a moment.
     """
-    if _rate_limits.may_await(active, limited, at_ms):
-        _adapters.leave(state, active)
+    if _rate_limits.may_await(active, rate_limited, at_ms):
+        _adapters.stop_waiting(state, active)
         active.retry_at_ms = at_ms + state.options.retry_pause_ms
         return []
     return give_up(
@@ -147,17 +157,17 @@
         active,
         errors.Kind.OVERLOADED,
         errors.Ran.NOT_RUN,
-        _rate_limits.wait_ms(limited, active.seed, at_ms),
+        _rate_limits.wait_ms(rate_limited, active.seed, at_ms),
     )
 
 
 def started(state: _state.State, event: events.MessageReceived) -> Effects:
-    """The endpoint began to answer: this attempt's answer is the one."""
+    """Begin to relay the answer, which commits the request to this attempt."""
     message = event.message
-    active = _current(state, event)
+    active = _current_request(state, event)
     if active is None or active.phase is not _state.Phase.OFFERED:
         return []
-    _backlog.started(state, active, event.at_ms)
+    _backlog.record_answer_start(state, active, event.at_ms)
     active.phase = _state.Phase.RELAYING
     return [
         effects.BeginAnswer(
@@ -173,8 +183,8 @@
 
 
 def ended(state: _state.State, event: events.MessageReceived) -> Effects:
-    """The endpoint's answer is whole at the sidecar."""
-    active = _current(state, event)
+    """Complete the answer once the endpoint has sent all of it."""
+    active = _current_request(state, event)
     if active is None or active.phase is not _state.Phase.RELAYING:
         return []
     return [
@@ -187,18 +197,18 @@
 
 
 def failed(state: _state.State, event: events.MessageReceived) -> Effects:
-    """An attempt ended without a whole answer: try another, or give up."""
-    active = _current(state, event)
+    """Handle a failed attempt: retry the request or fail it."""
+    active = _current_request(state, event)
     if active is None:
         return []
     message = _believed(state, active, event)
-    told: Effects = []
-    if message.kind in GONE_KINDS:
+    result: Effects = []
+    if message.kind in ENDPOINT_GONE_KINDS:
         state.endpoints[event.peer].leaving = True
     if message.kind is errors.Kind.ENDPOINT_REPLACED:
-        told = _crashes.over(state, event.peer, event.at_ms)
-    _crashes.cut_off(state, active, message, event.at_ms)
-    return told + _attempt_lost(state, active, message, event.at_ms)
+        result = _crashes.over(state, event.peer, event.at_ms)
+    _crashes.record_cut_off(state, active, message, event.at_ms)
+    return result + _handle_failure(state, active, message, event.at_ms)
 
 
 def _believed(
@@ -206,11 +216,12 @@
     active: _state.ActiveRequest,
     event: events.MessageReceived,
 ) -> messages.Failed:
-    """Doubt a "not run" that may only mean that the run was forgotten.
+    """Return the failure, with a "not run" that can't be trusted as unknown.
 
-    A sidecar remembers ended attempts for a time. A gateway that was paused
-    for longer and then resumes an attempt is told that it was never seen; it
-    would say "not run" of a request that ran, or run a key again.
+    A sidecar remembers ended attempts for a limited time. If a gateway was
+    paused for longer and then resumes an attempt, the sidecar reports it as
+    never seen. Taken as "not run", this would mislead the caller about a
+    request that ran, or run a request with an idempotency key twice.
     """
     message = event.message
     age_ms = event.at_ms - active.offered_ms
@@ -226,15 +237,15 @@
 def resume_failed(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> Effects:
-    """The sidecar did not come back in time: what ran there is unknown."""
-    lost = messages.Failed(
+    """Fail an attempt that could not be resumed; its outcome is unknown."""
+    failure = messages.Failed(
         active.attempt_id, errors.Kind.OUTCOME_UNKNOWN, errors.Ran.UNKNOWN
     )
-    return _attempt_lost(state, active, lost, at_ms)
+    return _handle_failure(state, active, failure, at_ms)
 
 
 def cancel(state: _state.State, active: _state.ActiveRequest) -> Effects:
-    """Tell the sidecar that nobody waits for the attempt any more."""
+    """Cancel the current attempt, since nobody waits for its answer."""
     if not active.offered:
         return []
     message = messages.Cancel(active.attempt_id)
@@ -242,9 +253,9 @@
 
 
 def finish(state: _state.State, active: _state.ActiveRequest) -> Effects:
-    """Forget a request that has had its final answer."""
-    _release(state, active)
-    _adapters.leave(state, active)
+    """Release everything held for a request that has its final answer."""
+    _release_endpoint(state, active)
+    _adapters.stop_waiting(state, active)
     _quotas.finish(state, active)
     if state.requests.pop(active.request.request_id, None) is not None:
         _limits.release(state, active.request)
@@ -252,12 +263,12 @@
 
 
 def succeeded(state: _state.State, active: _state.ActiveRequest) -> None:
-    """The endpoint gave a whole answer."""
+    """Record that the endpoint gave a complete answer."""
     endpoint = state.endpoints.get(active.endpoint)
     if endpoint is not None:
-        _ejection.succeeded(endpoint)
+        _ejection.record_success(endpoint)
     _quarantine.succeeded(state, active)
-    _crashes.succeeded(state, active)
+    _crashes.clear_suspicion(state, active)
 
 
 def give_up(
@@ -267,7 +278,7 @@
     ran: errors.Ran,
     retry_after_ms: int = 0,
 ) -> Effects:
-    """Give the final answer: an error, or a stream that ends as broken."""
+    """Fail a request: send an error, or break off an answer that has begun."""
     request_id = active.request.request_id
     if active.may_have_run and ran is errors.Ran.NOT_RUN:
         ran = errors.Ran.UNKNOWN
@@ -276,8 +287,8 @@
     else:
         answer = effects.AnswerError(request_id, kind, ran, retry_after_ms)
     _settlement.settle(state, active, ran)
-    told = _decisions.given_up(state, active, kind, ran, retry_after_ms)
-    return [*told, answer, *finish(state, active)]
+    result = _decisions.give_up_logs(state, active, kind, ran, retry_after_ms)
+    return [*result, answer, *finish(state, active)]
 
 
 def _offer(
@@ -286,12 +297,13 @@
     name: str,
     at_ms: int,
 ) -> Effects:
+    """Send a new attempt of the request to the endpoint."""
     request = active.request
     endpoint = state.endpoints[name]
-    _adapters.leave(state, active)
+    _adapters.stop_waiting(state, active)
     _quotas.sent_on(state, active, at_ms)
     if active.attempts == 0:
-        _budget.paid_in(state, active)
+        _budget.deposit(state, active)
     active.attempts += 1
     active.attempt_id = f'{request.request_id}.{active.attempts}'
     active.offered_ms = at_ms
@@ -303,16 +315,16 @@
     endpoint.placed.add(active.attempt_id)
     _rate_limits.spend(endpoint, at_ms)
     active.room_asked_ms = None
-    _backlog.offered(endpoint, active)
+    _backlog.add_attempt(endpoint, active)
     state.attempts[active.attempt_id] = request.request_id
-    _adapters.use_began(state, active)
+    _adapters.note_attempt_placed(state, active)
     active.isolated = _quarantine.must_isolate(state, active, at_ms)
     offer = messages.Offer(
         attempt_id=active.attempt_id,
         request_id=request.request_id,
         caller=request.caller,
         service=endpoint.instance.service,
-        adapter=_adapters.version_at(state, active, name, at_ms),
+        adapter=_adapters.runnable_version(state, active, name, at_ms),
         idempotent=request.idempotent,
         priority=request.priority,
         remaining_ms=active.deadline_ms - at_ms,
@@ -326,39 +338,39 @@
         revision=state.follower.current.revision,
         isolate=active.isolated,
         host=request.host,
-        another=_another_possible(state, active),
+        another=_can_retry_after_run(state, active),
     )
     if not endpoint.instance.direct:
         return [effects.Send(name, offer)]
     return [
-        _decisions.offered(state, active, offer, at_ms),
+        _decisions.offer_log(state, active, offer, at_ms),
         effects.Send(name, offer),
     ]
 
 
-def _another_possible(
+def _can_retry_after_run(
     state: _state.State, active: _state.ActiveRequest
 ) -> bool:
-    """Tell whether a run that fails now could be followed by another.
+    """Tell whether the request could be retried if this run fails.
 
-    Otherwise the endpoint's own answer goes to the caller, failure or not.
+    Otherwise the endpoint's own answer is relayed, even if it is an error.
     """
     return (
         active.request.idempotent
         and active.runs + 1 < active.most_runs
         and active.attempts < state.options.attempts
-        and _budget.level(state, active) >= 1
+        and _budget.retries_left(state, active) >= 1
     )
 
 
-def _current(
+def _current_request(
     state: _state.State, event: events.MessageReceived
 ) -> _state.ActiveRequest | None:
-    """Return the request whose current attempt a message speaks of.
+    """Return the request whose current attempt a message is about, if any.
 
-    Guards against the late word of an older attempt, or of a sidecar that
-    the attempt was not offered to: it would show as another attempt's
-    answer. Attempt ids are never used twice, so the id alone decides.
+    Drops late messages about older attempts, and messages from a sidecar
+    that the attempt was not offered to. They would be taken for the answer of
+    another attempt. Attempt ids are never reused, so the id identifies it.
     """
     attempt_id = event.message.attempt_id
     active = state.request_of(attempt_id)
@@ -369,33 +381,35 @@
     return active
 
 
-def _attempt_lost(
+def _handle_failure(
     state: _state.State,
     active: _state.ActiveRequest,
-    lost: messages.Failed,
+    failure: messages.Failed,
     at_ms: int,
 ) -> Effects:
-    """Decide between another attempt and the final answer.
+    """Retry a request whose attempt has failed, or fail the request.
 
-    No second attempt once the caller has part of an answer, and none for a
-    non-idempotent request that may have run.
+    It is not retried once the caller has part of an answer, nor if it may
+    have run and is not idempotent.
     """
-    if lost.ran is errors.Ran.NOT_RUN:
+    if failure.ran is errors.Ran.NOT_RUN:
         _quotas.not_run(active)
     else:
         active.may_have_run = True
         active.runs += 1
     endpoint = state.endpoints.get(active.endpoint)
     if endpoint is not None:
-        _ejection.failed(state, endpoint, lost.kind, at_ms)
-    if not _may_retry(state, active, lost):
-        return give_up(state, active, lost.kind, lost.ran, lost.retry_after_ms)
-    _release(state, active)
+        _ejection.record_failure(state, endpoint, failure.kind, at_ms)
+    if not _may_retry(state, active, failure):
+        return give_up(
+            state, active, failure.kind, failure.ran, failure.retry_after_ms
+        )
+    _release_endpoint(state, active)
     active.phase = _state.Phase.WAITING
-    active.last_refusal = lost
-    factor = _pause_factor(lost)
-    if lost.kind is errors.Kind.ENGINE_RESTARTED and factor:
-        # It may be the only one that is left.
+    active.last_refusal = failure
+    factor = _backoff_factor(failure)
+    if failure.kind is errors.Kind.ENGINE_RESTARTED and factor:
+        # Allow the same endpoint again, since it may be the only one left.
         active.tried.discard(active.endpoint)
     if not factor:
         return place(state, active, at_ms)
@@ -404,52 +418,59 @@
     return []
 
 
-def _pause_factor(lost: messages.Failed) -> int:
-    """Return how many pauses the next attempt waits for.
+def _backoff_factor(failure: messages.Failed) -> int:
+    """Return the back-off before the next attempt, in retry pauses.
 
-    An engine that restarted has not run what was meant for the one before;
-    its sidecar has to read its status before it can take anything.
+    A restarted engine refuses attempts that were meant for its predecessor,
+    and accepts none until its sidecar has read its new status.
     """
-    restarted = lost.kind is errors.Kind.ENGINE_RESTARTED
-    if restarted and lost.ran is errors.Ran.NOT_RUN:
-        return RESTARTED_PAUSES
-    return int(lost.kind in PAUSED_KINDS)
+    restarted = failure.kind is errors.Kind.ENGINE_RESTARTED
+    if restarted and failure.ran is errors.Ran.NOT_RUN:
+        return RESTART_BACKOFF_FACTOR
+    return int(failure.kind in BACKOFF_KINDS)
 
 
 def _may_retry(
     state: _state.State,
     active: _state.ActiveRequest,
-    lost: messages.Failed,
+    failure: messages.Failed,
 ) -> bool:
     if active.phase is _state.Phase.RELAYING:
         return False
     if active.may_have_run and not active.request.idempotent:
         return False
-    if lost.kind in FINAL_KINDS:
+    if failure.kind in NON_RETRYABLE_KINDS:
         return False
     if active.attempts >= state.options.attempts:
         return False
     if active.runs >= active.most_runs:
         return False
-    # An endpoint that leaves hands its work back: that is no overload, and
-    # a planned stop must not fail a request for want of budget.
-    if lost.kind is errors.Kind.LEAVING:
+    # A draining endpoint returns its work without being overloaded. A planned
+    # stop must not fail a request because the retry budget is used up.
+    if failure.kind is errors.Kind.LEAVING:
         return True
-    # One that was lost with its endpoint may be tried again once: nobody
-    # refused it, and a lost endpoint takes more than the budget's share of
-    # what is in flight.
-    free = state.options.lost_retry_free
-    if free and lost.kind in LOST_KINDS and not active.lost_once:
+    # A request whose endpoint was lost may be retried once outside the budget.
+    # No endpoint refused it, and a lost endpoint has more requests in flight
+    # than the budget's share of retries.
+    is_free = state.options.lost_retry_free
+    if (
+        is_free
+        and failure.kind in ENDPOINT_LOST_KINDS
+        and not active.lost_once
+    ):
         active.lost_once = True
         return True
-    return _budget.take(state, active)
+    return _budget.try_withdraw(state, active)
 
 
-def _release(state: _state.State, active: _state.ActiveRequest) -> None:
+def _release_endpoint(
+    state: _state.State, active: _state.ActiveRequest
+) -> None:
+    """Remove the request's current attempt from its endpoint."""
     endpoint = state.endpoints.get(active.endpoint)
     if endpoint is not None:
         endpoint.placed.discard(active.attempt_id)
-        _backlog.left(endpoint, active)
-        _adapters.use_ended(state, active)
+        _backlog.remove_request(endpoint, active)
+        _adapters.note_attempt_removed(state, active)
     state.attempts.pop(active.attempt_id, None)
     active.resume_by_ms = None
--- a/berylhollow/gateway/_backlog.py
+++ b/berylhollow/gateway/_backlog.py
@@ -1,67 +1,73 @@
-"""What waits at direct endpoints, counted in prompt tokens.
+"""Backlog of prompt tokens at direct endpoints.
 
-An endpoint reads prompts one after the other, so a request waits for the
-tokens before it more than for the number of requests. What we send is known
-exactly; what other gateways have sent is added up by the endpoint's sidecar,
-which every gateway tells of its part.
+An endpoint reads prompts one after the other, so a request's wait depends on
+the tokens ahead of it rather than on the number of requests. Each gateway
+knows exactly what it has sent itself and reports it to the endpoint's sidecar,
+which adds up the shares of all gateways.
 """
 
 from berylhollow.gateway import _state
 from berylhollow import messages
 
-SMOOTHING = 0.1
-"""Share of the newest measure: about ten requests make a new average."""
+SMOOTHING_FACTOR = 0.1
+"""Weight of the newest sample: the average follows about ten requests."""
 
-FEWEST_TOKENS = 200
-"""Shorter queues say more of the endpoint's steps than of its reading."""
+MIN_MEASURED_TOKENS = 200
+"""Shorter backlogs are not measured. The step time of the endpoint outweighs
+the time that it takes to read the prompts."""
 
-SHORTEST_MS = 0.02
-LONGEST_MS = 1.0
-"""Bounds of a token's time: an endpoint that is frozen or has the prompt
-cached must not teach us that reading takes for ever, or nothing."""
+MIN_TOKEN_MS = 0.02
+MAX_TOKEN_MS = 1.0
+"""Bounds of a measured time per token. An endpoint that is frozen, or has the
+prompt in its cache, must not make the average far too high or too low."""
 
+INITIAL_TOKEN_MS = 0.05
+"""Time per token that is assumed before the first measurement. With 0, a
+gateway that has just started would take every backlog for empty. The users'
+engines read 20 to 40 tokens in a millisecond."""
 
-FIRST_TOKEN_MS = 0.05
-"""Assumed until answers tell: a process that has just started must not take
-every queue for empty. Engines that users run read 20 to 40 tokens in a
-millisecond."""
+MIN_REPORTED_CHANGE_TOKENS = 1000
+"""Change of the backlog that is reported to the sidecar at once: about 50 ms
+of reading, or half of a usual prompt."""
 
-NEWS_TOKENS = 1000
-"""Change in what waits that the others are told of at once, some 50 ms of
-reading: half a usual prompt."""
 
-
-def awaited(endpoint: _state.Endpoint, active: _state.ActiveRequest) -> None:
-    """Count the prompt of a request that waits for its adapter there."""
+def add_request(
+    endpoint: _state.Endpoint, active: _state.ActiveRequest
+) -> None:
+    """Add a request's prompt to the backlog of an endpoint."""
     active.queued_tokens = active.request.prompt_tokens
     endpoint.waiting_tokens += active.queued_tokens
 
 
-def offered(endpoint: _state.Endpoint, active: _state.ActiveRequest) -> None:
-    """Count the prompt of an attempt until its answer begins."""
-    awaited(endpoint, active)
-    active.tokens_ahead = _tokens(endpoint)
+def add_attempt(
+    endpoint: _state.Endpoint, active: _state.ActiveRequest
+) -> None:
+    """Add an attempt's prompt and note the tokens up to its end."""
+    add_request(endpoint, active)
+    active.tokens_ahead = _total_tokens(endpoint)
 
 
-def started(
+def record_answer_start(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> None:
-    """The answer has begun: learn how long a token takes."""
+    """Remove the prompt and update the average time per token."""
     endpoint = state.endpoints.get(active.endpoint)
     if endpoint is not None:
-        left(endpoint, active)
-    if active.tokens_ahead < FEWEST_TOKENS:
+        remove_request(endpoint, active)
+    if active.tokens_ahead < MIN_MEASURED_TOKENS:
         return
-    seen_ms = (at_ms - active.offered_ms) / active.tokens_ahead
-    seen_ms = min(max(seen_ms, SHORTEST_MS), LONGEST_MS)
-    known_ms = state.token_ms.get(active.service, FIRST_TOKEN_MS)
-    state.token_ms[active.service] = known_ms + SMOOTHING * (
-        seen_ms - known_ms
+    measured_ms = (at_ms - active.offered_ms) / active.tokens_ahead
+    measured_ms = min(max(measured_ms, MIN_TOKEN_MS), MAX_TOKEN_MS)
+    average_ms = state.token_ms.get(active.service, INITIAL_TOKEN_MS)
+    state.token_ms[active.service] = average_ms + SMOOTHING_FACTOR * (
+        measured_ms - average_ms
     )
 
 
-def left(endpoint: _state.Endpoint, active: _state.ActiveRequest) -> None:
-    """The attempt waits there no longer."""
+def remove_request(
+    endpoint: _state.Endpoint, active: _state.ActiveRequest
+) -> None:
+    """Remove a request's prompt from the backlog of an endpoint."""
     endpoint.waiting_tokens -= active.queued_tokens
     active.queued_tokens = 0
 
@@ -71,24 +77,25 @@
     endpoint: _state.Endpoint,
     active: _state.ActiveRequest,
 ) -> float:
-    """Return how long what waits there before a request takes, in ms.
+    """Return how long the endpoint needs for the backlog, in ms.
 
-    One that waits for its adapter there is not in its own way.
+    The request's own prompt is left out if it waits for its adapter there.
     """
-    tokens = _tokens(endpoint)
+    tokens = _total_tokens(endpoint)
     if active.awaiting == endpoint.instance.instance:
         tokens -= active.queued_tokens
     service = endpoint.instance.service
-    return tokens * state.token_ms.get(service, FIRST_TOKEN_MS)
+    return tokens * state.token_ms.get(service, INITIAL_TOKEN_MS)
 
 
 def others(report: messages.Report, told_tokens: int) -> int:
-    """Return what other gateways have waiting, by a sidecar's report.
+    """Return the backlog of other gateways from a sidecar's report.
 
-    ``told_tokens`` is our own part in it.
+    ``told_tokens`` is this gateway's own share, as last reported to it.
     """
     return max(0, report.waiting_tokens - told_tokens)
 
 
-def _tokens(endpoint: _state.Endpoint) -> int:
+def _total_tokens(endpoint: _state.Endpoint) -> int:
+    """Return the backlog of all gateways at an endpoint, in tokens."""
     return endpoint.waiting_tokens + endpoint.others_tokens
--- a/berylhollow/gateway/_budget.py
+++ b/berylhollow/gateway/_budget.py
@@ -1,33 +1,33 @@
-"""Retry budgets: retries are a share of a caller's traffic to a service.
+"""Retry budgets, which limit retries to a share of a caller's traffic.
 
-Guards against retries that feed an overload: with endpoints refusing, each
-request would come several times, and the endpoints would spend what is left
-of them on refusals. It shows as goodput that falls while offered load rises.
-The share holds, since every retry takes what several first attempts paid in.
+Guards against retries that amplify an overload. When endpoints refuse
+requests, each request would be sent several times and the endpoints would
+spend their remaining capacity on refusals, so that goodput falls while offered
+load rises. Each retry withdraws what several first attempts have deposited.
 """
 
 from berylhollow.gateway import _state
 
 
-def paid_in(state: _state.State, active: _state.ActiveRequest) -> None:
-    """Count a first attempt: it pays for a share of a retry."""
-    key = _key(state, active)
+def deposit(state: _state.State, active: _state.ActiveRequest) -> None:
+    """Credit the budget with a first attempt's share of a retry."""
+    key = _budget_key(state, active)
     options = state.options
     level = state.retry_budgets.get(key, options.retry_reserve)
     level = min(options.retry_reserve, level + options.retry_share)
     state.retry_budgets[key] = level
 
 
-def level(state: _state.State, active: _state.ActiveRequest) -> float:
-    """Return how many retries are left."""
+def retries_left(state: _state.State, active: _state.ActiveRequest) -> float:
+    """Return how many retries the budget has left."""
     return state.retry_budgets.get(
-        _key(state, active), state.options.retry_reserve
+        _budget_key(state, active), state.options.retry_reserve
     )
 
 
-def take(state: _state.State, active: _state.ActiveRequest) -> bool:
-    """Take one retry from the budget; False if it is used up."""
-    key = _key(state, active)
+def try_withdraw(state: _state.State, active: _state.ActiveRequest) -> bool:
+    """Withdraw one retry; return False if the budget is used up."""
+    key = _budget_key(state, active)
     level = state.retry_budgets.get(key, state.options.retry_reserve)
     if level < 1:
         return False
@@ -36,21 +36,23 @@
 
 
 def forget(state: _state.State) -> None:
-    """Drop the budgets of callers that are no longer known."""
-    gone = [
+    """Drop the budgets of callers that the state no longer holds."""
+    stale_keys = [
         key
         for key in state.retry_budgets
         if key[0] and key[0] not in state.callers
     ]
-    for key in gone:
+    for key in stale_keys:
         del state.retry_budgets[key]
 
 
-def _key(state: _state.State, active: _state.ActiveRequest) -> tuple[str, str]:
-    """Return whose budget it is: a caller's, or that of all together.
+def _budget_key(
+    state: _state.State, active: _state.ActiveRequest
+) -> tuple[str, str]:
+    """Return the budget's key: the caller, or '' for all, and the service.
 
-    Where the platform bounds all repeats together, a reserve for each of
-    many callers would add up to more.
+    Where the platform limits the retries of all callers together, separate
+    reserves of many callers would add up to more than its limit.
     """
     caller = active.request.caller if state.options.budget_by_caller else ''
     return caller, active.service
--- a/berylhollow/gateway/_claim_verdict.py
+++ b/berylhollow/gateway/_claim_verdict.py
@@ -1,4 +1,4 @@
-"""What the log says of a claim, for its request or for the wire."""
+"""Verdicts on claims to idempotency keys, and their wire messages."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether a claim holds its key; if not, what its caller is told."""
+    """Whether a claim holds its key; if not, the caller's answer or error."""
 
     holds: bool = False
     kind: errors.Kind = errors.Kind.INTERNAL
@@ -21,9 +21,10 @@
 def judge(
     claim: claims.Claim, holding: claims.Holding | None, log_ms: int
 ) -> Verdict:
-    """Judge a claim by who holds its key at the claim's own offset.
+    """Return the verdict on a claim from the holder of its key.
 
-    ``log_ms`` is the log's time of the claim.
+    ``holding`` is the key's state at the claim's own offset, ``log_ms`` the
+    log's time of the claim.
     """
     if holding is None:
         return Verdict(kind=errors.Kind.CLAIMS_UNAVAILABLE)
@@ -39,7 +40,7 @@
 
 
 def unavailable(retry_after_ms: int) -> Verdict:
-    """Return the verdict of a claim that the log did not take."""
+    """Return the verdict on a claim that could not be appended to the log."""
     return Verdict(
         kind=errors.Kind.CLAIMS_UNAVAILABLE, retry_after_ms=retry_after_ms
     )
@@ -48,7 +49,7 @@
 def to_message(
     partition: int, claim_id: str, verdict: Verdict
 ) -> messages.ClaimDecided:
-    """Return a verdict as the message that a leader sends."""
+    """Convert a verdict to the message that a leader sends."""
     answer = verdict.answer or claims.StoredAnswer(0, (), b'')
     return messages.ClaimDecided(
         partition,
@@ -64,7 +65,7 @@
 
 
 def from_message(message: messages.ClaimDecided) -> Verdict:
-    """Return the verdict in a leader's message."""
+    """Convert a leader's message to a verdict."""
     answer = None
     if message.status:
         answer = claims.StoredAnswer(
@@ -80,17 +81,18 @@
 
 
 def _judge_unsettled(holding: claims.Holding, log_ms: int) -> Verdict:
-    """Tell a request in flight from one whose gateway is gone.
+    """Return the verdict where the log has no definite outcome of the holder.
 
-    The holder has until its lifetime is over to say how it ended. Nobody
-    else may run the key after that either: a paused gateway may wake up and
-    still have its run in flight.
+    Until its lifetime has passed, a holder without an outcome counts as in
+    progress. After that its gateway counts as gone and the outcome as unknown.
+    No other request may run with the key even then, since a paused gateway may
+    resume while its run is still in flight.
     """
-    left_ms = holding.claimed_ms + holding.lifetime_ms - log_ms
-    if holding.outcome is None and left_ms > 0:
+    remaining_ms = holding.claimed_ms + holding.lifetime_ms - log_ms
+    if holding.outcome is None and remaining_ms > 0:
         return Verdict(
             kind=errors.Kind.KEY_IN_PROGRESS,
             ran=errors.Ran.UNKNOWN,
-            retry_after_ms=left_ms,
+            retry_after_ms=remaining_ms,
         )
     return Verdict(kind=errors.Kind.OUTCOME_UNKNOWN, ran=errors.Ran.UNKNOWN)
--- a/berylhollow/gateway/_crashes.py
+++ b/berylhollow/gateway/_crashes.py
@@ -1,12 +1,14 @@
-"""Requests that were cut off when a direct endpoint ended.
+"""Detection of requests that may have crashed a direct endpoint.
 
-Guards against one request that takes the endpoints down one after the other:
-its run is cut off with each, and its caller, or a retry, brings it to the
-next. No sidecar sees the requests of a direct endpoint, so each gateway puts
-together what it lost there with the news that the endpoint is over, and tells
-the others through the sidecars. A connection that breaks while its endpoint
-lives is no crash, and a request that ran well since is cleared: many requests
-look the same, and a crash cuts the innocent off too.
+Guards against a request that crashes one endpoint after the other because its
+caller, or a retry, sends it to the next each time. No sidecar sees the
+requests of a direct endpoint. Each gateway therefore records the runs that
+were cut off there, and when the endpoint turns out to have ended, it reports
+them as suspects to the other gateways through the sidecars.
+
+A connection that breaks while its endpoint lives is no crash. A request that
+runs to its end at a direct endpoint is cleared, since a crash also cuts off
+innocent requests and many requests have the same fingerprint.
 """
 
 from berylhollow import effects
@@ -18,37 +20,42 @@
 
 Effects = list[effects.Effect]
 
-CUT_OFF = frozenset({errors.Kind.ENGINE_RESTARTED, errors.Kind.STREAM_BROKEN})
+CUT_OFF_KINDS = frozenset(
+    {errors.Kind.ENGINE_RESTARTED, errors.Kind.STREAM_BROKEN}
+)
 
-REMEMBERED_MS = 10_000
-"""A crashed endpoint is missed within three heartbeats of about a second,
-and back within some seconds more."""
+CUT_OFF_TTL_MS = 10_000
+"""How long a cut-off run is remembered. A crashed endpoint is detected within
+three heartbeats of about a second, and is back a few seconds later."""
 
-MOST_REMEMBERED = 256
-"""More than an endpoint runs at once."""
+MAX_CUT_OFF_REQUESTS = 256
+"""Bound for each endpoint, above the number that it runs at once."""
 
 
-def cut_off(
+def record_cut_off(
     state: _state.State,
     active: _state.ActiveRequest,
-    lost: messages.Failed,
+    failure: messages.Failed,
     at_ms: int,
 ) -> None:
-    """Remember a request whose run at a direct endpoint was cut off."""
+    """Record a request whose run at a direct endpoint was cut off."""
     endpoint = state.endpoints.get(active.endpoint)
     if endpoint is None or not endpoint.instance.direct:
         return
-    if lost.kind not in CUT_OFF or len(endpoint.lost) >= MOST_REMEMBERED:
+    if (
+        failure.kind not in CUT_OFF_KINDS
+        or len(endpoint.lost) >= MAX_CUT_OFF_REQUESTS
+    ):
         return
     endpoint.lost[active.request.fingerprint] = at_ms
 
 
 def over(state: _state.State, name: str, at_ms: int) -> Effects:
-    """An endpoint ended without leaving: what it lost is suspect."""
+    """Report the runs cut off at an endpoint that ended without draining."""
     endpoint = state.endpoints.get(name)
     if endpoint is None or not endpoint.lost:
         return []
-    oldest = at_ms - REMEMBERED_MS
+    oldest = at_ms - CUT_OFF_TTL_MS
     suspects = tuple(
         fingerprint
         for fingerprint, lost_ms in endpoint.lost.items()
@@ -59,20 +66,20 @@
         return []
     service = endpoint.instance.service
     crash_id = f'{name} at {state.options.instance}'
-    told = messages.Crashed(crash_id, service, suspects)
-    done: Effects = [
-        effects.Send(peer, told)
+    message = messages.Crashed(crash_id, service, suspects)
+    result: Effects = [
+        effects.Send(peer, message)
         for peer, sidecar in state.sidecars.items()
         if sidecar.link is _state.LinkPhase.OPEN
     ]
     fields = (('endpoint', name), ('suspects', len(suspects)))
-    done.append(effects.Log('endpoint crashed', fields, warning=True))
+    result.append(effects.Log('endpoint crashed', fields, warning=True))
     crash = quarantine.Crash(crash_id, service, suspects)
-    return done + _quarantine.seen(state, crash, at_ms)
+    return result + _quarantine.seen(state, crash, at_ms)
 
 
-def succeeded(state: _state.State, active: _state.ActiveRequest) -> None:
-    """A request that runs well at a direct endpoint crashes none."""
+def clear_suspicion(state: _state.State, active: _state.ActiveRequest) -> None:
+    """Clear a request that has succeeded at a direct endpoint."""
     endpoint = state.endpoints.get(active.endpoint)
     if endpoint is None or not endpoint.instance.direct:
         return
--- a/berylhollow/gateway/_decisions.py
+++ b/berylhollow/gateway/_decisions.py
@@ -1,7 +1,7 @@
-"""Log lines of decisions about requests at direct endpoints.
+"""Log lines for decisions about requests at direct endpoints.
 
-Each has the request's id, what decided, how old that was, and the outcome, so
-that a failed request can be explained from the logs alone.
+Each has the request's id, the data behind the decision, the age of the data,
+and the outcome, so that the logs alone explain why a request failed.
 """
 
 from berylhollow import effects
@@ -12,15 +12,15 @@
 from berylhollow import messages
 
 
-def offered(
+def offer_log(
     state: _state.State,
     active: _state.ActiveRequest,
     offer: messages.Offer,
     at_ms: int,
 ) -> effects.Log:
-    """An endpoint was chosen and the request is sent to it."""
+    """Return the log line for an attempt that is sent to an endpoint."""
     endpoint = state.endpoints[active.endpoint]
-    last = active.last_refusal
+    last_refusal = active.last_refusal
     report_age_ms = None
     if endpoint.report_at_ms:
         report_age_ms = at_ms - endpoint.report_at_ms
@@ -41,26 +41,26 @@
             ('list_age_ms', state.list_age_ms(at_ms)),
             ('rate_per_s', endpoint.notice.rate_per_s),
             ('revision', offer.revision),
-            ('after', last.kind.value if last else None),
+            ('after', last_refusal.kind.value if last_refusal else None),
         ),
     )
 
 
-def given_up(
+def give_up_logs(
     state: _state.State,
     active: _state.ActiveRequest,
     kind: errors.Kind,
     ran: errors.Ran,
     retry_after_ms: int,
 ) -> list[effects.Log]:
-    """The request gets an error as its final answer."""
+    """Return the log lines for a request that fails for good."""
     if not state.options.needs_instances:
         return []
-    usable = sum(
+    usable_count = sum(
         endpoint.usable and endpoint.instance.service == active.service
         for endpoint in state.endpoints.values()
     )
-    view = state.follower.current
+    configuration = state.follower.current
     fields = (
         ('request_id', active.request.request_id),
         ('kind', kind.value),
@@ -71,11 +71,11 @@
         ('runs', active.runs),
         ('most_runs', active.most_runs),
         ('awaited_endpoint', active.awaiting),
-        ('endpoints_usable', usable),
+        ('endpoints_usable', usable_count),
         ('endpoints_limited', len(state.rate_limited)),
-        ('retries_left', round(_budget.level(state, active), 1)),
+        ('retries_left', round(_budget.retries_left(state, active), 1)),
         ('retry_after_ms', retry_after_ms),
-        ('revision', view.revision if view else 0),
+        ('revision', configuration.revision if configuration else 0),
         ('stopping', state.stopping),
     )
     return [effects.Log('request given up', fields)]
--- a/berylhollow/gateway/_ejection.py
+++ b/berylhollow/gateway/_ejection.py
@@ -1,14 +1,14 @@
-"""Outlier ejection: an endpoint that keeps failing gets a pause.
+"""Outlier ejection: endpoints that keep failing get no requests for a time.
 
-Guards against an endpoint that fails fast: it always has room, so the
-least-loaded choice would send it everything. It shows as a service that
-fails most of its requests with one endpoint bad.
+Guards against an endpoint that fails fast. It always has spare capacity, so
+least-loaded routing would send it everything, and a single bad endpoint would
+fail most requests of its service.
 """
 
 from berylhollow import errors
 from berylhollow.gateway import _state
 
-FAILURES = frozenset(
+FAILURE_KINDS = frozenset(
     {
         errors.Kind.ENDPOINT_FAILED,
         errors.Kind.ENDPOINT_UNREACHABLE,
@@ -21,25 +21,25 @@
 MAX_DOUBLINGS = 5
 
 
-def succeeded(endpoint: _state.Endpoint) -> None:
-    """An answer came whole: the endpoint's failures no longer count."""
+def record_success(endpoint: _state.Endpoint) -> None:
+    """Reset an endpoint's failures after a complete answer."""
     endpoint.failures = 0
     endpoint.ejections = 0
 
 
-def failed(
+def record_failure(
     state: _state.State,
     endpoint: _state.Endpoint,
     kind: errors.Kind,
     at_ms: int,
 ) -> None:
     """Count a failure; eject the endpoint after several in a row."""
-    if kind not in FAILURES:
+    if kind not in FAILURE_KINDS:
         return
     endpoint.failures += 1
     if endpoint.failures < state.options.eject_failures:
         return
-    if not _others_suffice(state, endpoint, at_ms):
+    if not _has_enough_others(state, endpoint, at_ms):
         return
     doublings = min(endpoint.ejections, MAX_DOUBLINGS)
     endpoint.ejections += 1
@@ -48,12 +48,12 @@
     endpoint.ejected_until_ms = at_ms + pause_ms
 
 
-def _others_suffice(
+def _has_enough_others(
     state: _state.State, endpoint: _state.Endpoint, at_ms: int
 ) -> bool:
-    """Tell whether at least half of the service stays without it.
+    """Tell whether half of the service's endpoints are usable without this.
 
-    Guards against ejecting everybody when what fails is common to all.
+    Guards against ejecting all endpoints when they share a cause of failure.
     """
     service = endpoint.instance.service
     members = [
@@ -61,7 +61,7 @@
         for other in state.endpoints.values()
         if other.instance.service == service
     ]
-    left = sum(
+    remaining = sum(
         other.usable_at(at_ms) and other is not endpoint for other in members
     )
-    return left * 2 >= len(members)
+    return remaining * 2 >= len(members)
--- a/berylhollow/gateway/_model_loads.py
+++ b/berylhollow/gateway/_model_loads.py
@@ -1,11 +1,11 @@
-"""Which empty endpoint loads its model from the weight store first.
+"""Order in which empty endpoints load their model from the weight store.
 
-The store serves few loads at full speed, and makes each take longer in
-proportion beyond. Guards against endpoints that are all replaced within some
-seconds and load all at once: five loads of 4.3 s each were ready together
-after 21 s, and until then nothing was served; one after the other the first
-serves after 4.3 s, the second after 8.6. No process decides for all: every
-gateway ranks the same reports in the same way, and tells the sidecars.
+The store serves a few loads at full speed; with more, each takes longer in
+proportion. Guards against endpoints that are all replaced within some seconds
+and load at the same time: five loads of 4.3 s each were all ready after 21 s,
+and nothing was served until then. One after the other, the first endpoint
+serves after 4.3 s and the second after 8.6 s. There is no coordinator: every
+gateway ranks the same reports in the same way and tells the sidecars.
 """
 
 from berylhollow.gateway import _state
@@ -13,22 +13,24 @@
 from berylhollow.policy import rendezvous
 
 ENDPOINTS_PER_LOAD = 6
-"""One load at full speed for each six endpoints: the users' stores serve one
-at a time for five and six endpoints, three for twenty."""
+"""Endpoints of a service for each load that runs at the same time. The users'
+stores serve one load at full speed for five or six endpoints, and three for
+twenty."""
 
 
-def hold(state: _state.State, name: str) -> bool:
-    """Tell whether an endpoint is to leave the store to others for now.
+def should_hold(state: _state.State, name: str) -> bool:
+    """Tell whether an endpoint must not load its model yet.
 
-    One that has not said yet that it needs its model is held too: endpoints
-    that start together would all be told to go ahead before any has.
+    An endpoint that has not reported yet that it needs its model is held too.
+    Otherwise endpoints that start together would all be allowed to load
+    before the first of them has reported.
     """
     endpoint = state.endpoints[name]
     if not endpoint.usable:
         return True
     service = endpoint.instance.service
     waiting = [
-        (_order(other, state.endpoints[other]), other)
+        (_load_sort_key(other, state.endpoints[other]), other)
         for other in state.model_loads.get(service, ())
         if state.endpoints[other].usable
     ]
@@ -38,7 +40,7 @@
 
 
 def note(state: _state.State, name: str) -> None:
-    """Keep by service who needs the store, so that nobody looks at all."""
+    """Update the index of endpoints that need the store from a report."""
     endpoint = state.endpoints[name]
     service = endpoint.instance.service
     report = endpoint.report
@@ -49,7 +51,7 @@
 
 
 def forget(state: _state.State, name: str, service: str) -> None:
-    """An endpoint needs the store no more, or is gone."""
+    """Remove an endpoint from the index of those that need the store."""
     waiting = state.model_loads.get(service)
     if waiting is None:
         return
@@ -58,7 +60,10 @@
         del state.model_loads[service]
 
 
-def _order(name: str, endpoint: _state.Endpoint) -> tuple[bool, int]:
-    """Order by who loads already, then the same at every gateway."""
-    under_way = endpoint.report.model_load is messages.ModelLoad.UNDER_WAY
-    return not under_way, rendezvous.digest(name)
+def _load_sort_key(name: str, endpoint: _state.Endpoint) -> tuple[bool, int]:
+    """Return a sort key: loads under way first, then by digest.
+
+    The digest gives the same order at every gateway.
+    """
+    is_under_way = endpoint.report.model_load is messages.ModelLoad.UNDER_WAY
+    return not is_under_way, rendezvous.digest(name)
--- a/berylhollow/gateway/_pauses.py
+++ b/berylhollow/gateway/_pauses.py
@@ -1,17 +1,19 @@
-"""Endpoints that have asked for a pause after turning a request away."""
+"""Retry times for callers while endpoints pause after refusing requests."""
 
 from berylhollow.gateway import _state
 
-SPREAD_SHARE = 0.25
-"""Of the wait: over how much more time refused callers come back."""
+JITTER_SHARE = 0.25
+"""Jitter as a share of the wait, so that refused callers don't all retry at
+once."""
 
 
-def wait_ms(
+def retry_after_ms(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> int:
-    """Return when a caller may come back because a pause ends.
+    """Return how long until a pause ends and a caller may retry.
 
-    0 if an endpoint takes requests now, or none will: a pause is not why.
+    Returns 0 if pauses are not why no endpoint was found: one is usable now,
+    or no usable endpoint is in a pause.
     """
     waits = []
     for name in state.placement.names(active.service):
@@ -21,4 +23,4 @@
         if endpoint.usable and endpoint.paused_until_ms > at_ms:
             waits.append(endpoint.paused_until_ms - at_ms)
     soonest_ms = min(waits, default=0)
-    return soonest_ms + int(active.seed * SPREAD_SHARE * soonest_ms)
+    return soonest_ms + int(active.seed * JITTER_SHARE * soonest_ms)
--- a/berylhollow/gateway/_placement.py
+++ b/berylhollow/gateway/_placement.py
@@ -1,75 +1,81 @@
-"""Index of where adapters are, so that a choice never scans endpoints."""
+"""Index of adapters by endpoint, so that routing never scans endpoints."""
 
 import dataclasses
 
 from berylhollow import messages
 from berylhollow.policy import rendezvous
 
-EXPECTED_MS = 750
-"""How long an offer counts as a load to come before a report shows it."""
-CANDIDATES = 8
-"""Endpoints remembered of the rendezvous order of each adapter."""
-LATELY = 30
-"""Adapters remembered as held lately by an endpoint: endpoints keep copies
-of about 36 beside those in their slots, and reports may miss a few."""
+EXPECTED_LOAD_TTL_MS = 750
+"""How long an offer counts as an expected load until a report shows it."""
+MAX_CANDIDATES = 8
+"""Endpoints cached from the head of each adapter's rendezvous order."""
+MAX_RECENTLY_HELD = 30
+"""Adapters remembered as recently held, for each endpoint. Endpoints keep
+copies of about 36 besides those in their slots; reports may miss a few."""
 
-# Names are kept as keys of dicts and not in sets: the order of a set differs
-# from process to process, and with it every tie.
-Names = dict[str, None]
+# Names are the keys of a dict, not members of a set: the order of a set
+# differs between processes, so ties would be resolved differently too.
+OrderedNames = dict[str, None]
 
 
 @dataclasses.dataclass(slots=True)
 class Placement:
-    """Adapters by endpoint, from reports and from our own offers.
-
-    ``digests`` maps the endpoints of a service to their digests. ``orders``
-    caches the head of the rendezvous order of each adapter; it is dropped when
-    an endpoint comes or goes. ``lately`` holds the adapters that each endpoint
-    was last seen with, the oldest first.
+    """Endpoints by adapter, from reports and this gateway's own offers.
+
+    ``ready`` maps adapters to the endpoints that have loaded them, ``pending``
+    to those that load them or have queued a load. ``expected_loads`` has the
+    times at which the loads expected from offers expire. ``recently_held`` has
+    the adapters that each endpoint was last seen with, the oldest first.
+    ``loads_waiting`` counts the queued loads of each service. ``digests`` maps
+    the endpoints of a service to their digests, and ``sorted_names`` caches
+    their names. ``cached_orders`` has the head of each adapter's rendezvous
+    order and is dropped when an endpoint is added or removed.
     """
 
-    ready: dict[messages.AdapterVersion, Names] = dataclasses.field(
+    ready: dict[messages.AdapterVersion, OrderedNames] = dataclasses.field(
         default_factory=dict
     )
-    coming: dict[messages.AdapterVersion, Names] = dataclasses.field(
+    pending: dict[messages.AdapterVersion, OrderedNames] = dataclasses.field(
         default_factory=dict
     )
-    expected: dict[messages.AdapterVersion, dict[str, int]] = (
+    expected_loads: dict[messages.AdapterVersion, dict[str, int]] = (
         dataclasses.field(default_factory=dict)
     )
-    lately: dict[str, dict[messages.AdapterVersion, None]] = dataclasses.field(
-        default_factory=dict
+    recently_held: dict[str, dict[messages.AdapterVersion, None]] = (
+        dataclasses.field(default_factory=dict)
     )
     loads_waiting: dict[str, int] = dataclasses.field(default_factory=dict)
     digests: dict[str, dict[str, int]] = dataclasses.field(
         default_factory=dict
     )
-    members: dict[str, list[str]] = dataclasses.field(default_factory=dict)
-    orders: dict[str, dict[messages.AdapterVersion, list[str]]] = (
+    sorted_names: dict[str, list[str]] = dataclasses.field(
+        default_factory=dict
+    )
+    cached_orders: dict[str, dict[messages.AdapterVersion, list[str]]] = (
         dataclasses.field(default_factory=dict)
     )
 
     def add(self, name: str, service: str) -> None:
-        """Count an endpoint among those of its service."""
-        members = self.digests.setdefault(service, {})
-        if name not in members:
-            members[name] = rendezvous.digest(name)
-            self._changed(service)
+        """Add an endpoint to those of its service."""
+        digests = self.digests.setdefault(service, {})
+        if name not in digests:
+            digests[name] = rendezvous.digest(name)
+            self._invalidate_caches(service)
 
     def remove(
         self, name: str, service: str, report: messages.Report | None
     ) -> None:
-        """Forget an endpoint and what its last report said."""
+        """Remove an endpoint and the adapters in its last report."""
         self.replace(name, report, None)
-        self.lately.pop(name, None)
+        self.recently_held.pop(name, None)
         if self.digests.get(service, {}).pop(name, None) is not None:
-            self._changed(service)
+            self._invalidate_caches(service)
 
     def names(self, service: str) -> list[str]:
-        """Return the endpoints of a service in a fixed order."""
-        names = self.members.get(service)
+        """Return the endpoints of a service, sorted by name."""
+        names = self.sorted_names.get(service)
         if names is None:
-            names = self.members[service] = sorted(
+            names = self.sorted_names[service] = sorted(
                 self.digests.get(service, {})
             )
         return names
@@ -80,83 +86,83 @@
         old: messages.Report | None,
         new: messages.Report | None,
     ) -> None:
-        """Take in a report in the place of an endpoint's former one."""
+        """Replace an endpoint's former report by a new one."""
         if old is not None:
-            self._count(old, -1)
-            _discard(self.ready, name, _ready(old))
-            _discard(self.coming, name, _coming(old))
+            self._add_queued_loads(old, -1)
+            _discard(self.ready, name, _ready_adapters(old))
+            _discard(self.pending, name, _pending_adapters(old))
         if new is not None:
-            self._count(new, 1)
-            _insert(self.ready, name, _ready(new))
-            self._remember(name, _ready(new))
-            _insert(self.coming, name, _coming(new))
+            self._add_queued_loads(new, 1)
+            _insert(self.ready, name, _ready_adapters(new))
+            self._record_held(name, _ready_adapters(new))
+            _insert(self.pending, name, _pending_adapters(new))
 
     def held_lately(self, name: str, adapter: messages.AdapterVersion) -> bool:
-        """Tell whether an endpoint had an adapter not long ago."""
-        return adapter in self.lately.get(name, ())
+        """Tell whether an endpoint was recently seen with an adapter."""
+        return adapter in self.recently_held.get(name, ())
 
-    def _remember(
+    def _record_held(
         self, name: str, adapters: list[messages.AdapterVersion]
     ) -> None:
-        lately = self.lately.setdefault(name, {})
+        recent = self.recently_held.setdefault(name, {})
         for adapter in adapters:
-            lately.pop(adapter, None)
-            lately[adapter] = None
-        while len(lately) > LATELY:
-            del lately[next(iter(lately))]
+            recent.pop(adapter, None)
+            recent[adapter] = None
+        while len(recent) > MAX_RECENTLY_HELD:
+            del recent[next(iter(recent))]
 
     def expect(
         self, adapter: messages.AdapterVersion, name: str, at_ms: int
     ) -> None:
-        """An offer that needs a load was sent: count the load as coming.
+        """Count a load as pending because a request was routed there.
 
-        Guards against a burst for a cold adapter: until the first report
-        that shows the load, each request would go to another endpoint.
+        Guards against bursts for an adapter that is not loaded anywhere. Until
+        a report showed the load, each request would go to another endpoint.
         """
         if name in self.ready.get(adapter, ()):
             return
-        waits = self.expected.setdefault(adapter, {})
-        waits[name] = at_ms + EXPECTED_MS
+        expiries = self.expected_loads.setdefault(adapter, {})
+        expiries[name] = at_ms + EXPECTED_LOAD_TTL_MS
 
     def awaiting(
         self, adapter: messages.AdapterVersion, at_ms: int
     ) -> list[str]:
-        """Return the endpoints where the adapter is to be loaded."""
-        names = dict(self.coming.get(adapter, {}))
-        waits = self.expected.get(adapter)
-        if waits:
-            for name in [key for key in waits if waits[key] <= at_ms]:
-                del waits[name]
-            names |= dict.fromkeys(waits)
-            if not waits:
-                del self.expected[adapter]
+        """Return the endpoints that load the adapter or are expected to."""
+        names = dict(self.pending.get(adapter, {}))
+        expiries = self.expected_loads.get(adapter)
+        if expiries:
+            for name in [key for key in expiries if expiries[key] <= at_ms]:
+                del expiries[name]
+            names |= dict.fromkeys(expiries)
+            if not expiries:
+                del self.expected_loads[adapter]
         return list(names)
 
     def order(
         self, service: str, adapter: messages.AdapterVersion
     ) -> list[str]:
         """Return the head of the adapter's rendezvous order."""
-        orders = self.orders.setdefault(service, {})
+        orders = self.cached_orders.setdefault(service, {})
         order = orders.get(adapter)
         if order is None:
             key = rendezvous.digest(str(adapter))
-            members = self.digests.get(service, {})
-            order = rendezvous.top(key, members, CANDIDATES)
+            digests = self.digests.get(service, {})
+            order = rendezvous.top(key, digests, MAX_CANDIDATES)
             orders[adapter] = order
         return order
 
-    def _changed(self, service: str) -> None:
-        self.orders.pop(service, None)
-        self.members.pop(service, None)
+    def _invalidate_caches(self, service: str) -> None:
+        self.cached_orders.pop(service, None)
+        self.sorted_names.pop(service, None)
 
-    def _count(self, report: messages.Report, sign: int) -> None:
+    def _add_queued_loads(self, report: messages.Report, sign: int) -> None:
         waiting = self.loads_waiting.get(report.service, 0)
         self.loads_waiting[report.service] = waiting + sign * len(
             report.wanted
         )
 
 
-def _ready(report: messages.Report) -> list[messages.AdapterVersion]:
+def _ready_adapters(report: messages.Report) -> list[messages.AdapterVersion]:
     return [
         slot.adapter
         for slot in report.slots
@@ -164,7 +170,10 @@
     ]
 
 
-def _coming(report: messages.Report) -> list[messages.AdapterVersion]:
+def _pending_adapters(
+    report: messages.Report,
+) -> list[messages.AdapterVersion]:
+    """Return the adapters that an endpoint loads or has queued to load."""
     loading = [
         slot.adapter
         for slot in report.slots
--- a/berylhollow/gateway/_routing.py
+++ b/berylhollow/gateway/_routing.py
@@ -10,8 +10,9 @@
 ) -> str | None:
     """Return the endpoint to offer a request to, None if there is none.
 
-    The policy named in the settings chooses. Whatever it knows is a hint:
-    the sidecar that gets the offer decides whether it is run.
+    The routing policy of the settings chooses it from what the gateway knows,
+    which may be out of date. The sidecar that gets the offer decides whether
+    the request is run.
     """
     request = active.request
     query = policy.RouteQuery(
--- a/berylhollow/gateway/_settlement.py
+++ b/berylhollow/gateway/_settlement.py
@@ -1,4 +1,4 @@
-"""How claimed requests ended, on its way to the log."""
+"""Outcomes of claimed requests, queued for the log, and its partitions."""
 
 from berylhollow import claims
 from berylhollow import errors
@@ -11,7 +11,7 @@
     ran: errors.Ran,
     answer: claims.StoredAnswer | None = None,
 ) -> None:
-    """Queue how a claimed request ended; the next tick appends it."""
+    """Queue a claimed request's outcome for the append of the next tick."""
     if not active.claim_id:
         return
     partition = partition_of(state, active.key)
@@ -25,7 +25,7 @@
 
 
 def unsettled(state: _state.State) -> bool:
-    """Tell whether the log still lacks how some claim ended."""
+    """Tell whether any entry is not known yet to be appended to the log."""
     return any(
         partition.queue or partition.appending
         for partition in state.partitions.values()
@@ -33,13 +33,13 @@
 
 
 def partition_of(state: _state.State, key: bytes) -> _state.Partition:
-    """Return the partition of a key; its ledger is empty at first."""
+    """Return the partition of a key; a new one has an empty ledger."""
     number = claims.partition_of(key, state.options.claim_partitions)
     return partition_numbered(state, number)
 
 
 def partition_numbered(state: _state.State, number: int) -> _state.Partition:
-    """Return a partition by its number."""
+    """Return the partition with a number, created at its first use."""
     partition = state.partitions.get(number)
     if partition is None:
         ledger = claims.Ledger(state.options.claim_window_ms)
@@ -52,7 +52,7 @@
 def partition_with(
     state: _state.State, stream: str
 ) -> _state.Partition | None:
-    """Return the partition that is kept in a stream, if it is in use."""
+    """Return the partition whose entries are in a stream, if in use."""
     for partition in state.partitions.values():
         if partition.stream == stream:
             return partition
