--- a/test/test_gateway.py
+++ b/test/test_gateway.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway's reducer: one request and its attempts."""
+"""Tests of a request and its attempts in the gateway's reducer."""
 
 from berylhollow import effects
 from berylhollow import errors
@@ -19,9 +19,9 @@
             )
         )
         for name in ('e1', 'e2'):
-            self.open(name)
+            self.open_endpoint_link(name)
 
-    def open(self, name, incarnation='i1', at_ms=0):
+    def open_endpoint_link(self, name, incarnation='i1', at_ms=0):
         role = events.Role.ENDPOINT
         return self.feed(events.LinkOpened(at_ms, name, role, incarnation))
 
@@ -37,7 +37,7 @@
 
 
 class RequestTest(GatewayTestCase):
-    def test_answer_is_relayed_whole(self):
+    def test_complete_answer_is_relayed(self):
         peer, attempt_id = self.arrive()
         self.begin_answer(peer, attempt_id)
         self.assertEqual(1, len(self.of_type(effects.BeginAnswer)))
@@ -47,7 +47,7 @@
         self.feed(events.AnswerRelayed(1, 'r1', attempt_id, 200))
         self.assertEqual({}, self.state.requests)
 
-    def test_refused_attempt_goes_to_another_endpoint(self):
+    def test_refused_attempt_is_retried_at_another_endpoint(self):
         peer, attempt_id = self.arrive(key='k')
         refused = messages.Failed(
             attempt_id, errors.Kind.LEAVING, errors.Ran.NOT_RUN
@@ -57,7 +57,7 @@
         self.assertNotEqual(peer, send.peer)
         self.assertNotEqual(attempt_id, send.message.attempt_id)
 
-    def test_link_to_a_leaving_endpoint_is_closed_once_it_owes_nothing(self):
+    def test_link_to_a_leaving_endpoint_closes_after_its_last_answer(self):
         peer, attempt_id = self.arrive()
         self.begin_answer(peer, attempt_id)
         self.state.endpoints[peer].leaving = True
@@ -71,12 +71,12 @@
         self.feed(events.LinkClosed(40, peer), events.Ticked(50))
         self.assertEqual([], self.of_type(effects.OpenLink))
 
-    def test_unknown_outcome_is_not_tried_again(self):
-        """A booking is made twice.
+    def test_unknown_outcome_is_not_retried(self):
+        """Guards against a booking that is made twice.
 
-        A caller books with a key; the endpoint's connection breaks after it
-        took the booking, and a second attempt makes another one. Cause: an
-        unknown outcome taken for "not run".
+        The endpoint's connection breaks after it has accepted a booking with
+        an idempotency key. If the unknown outcome is taken for "not run", a
+        second attempt makes another booking.
         """
         peer, attempt_id = self.arrive(key='k')
         unknown = messages.Failed(
@@ -87,12 +87,12 @@
         (answer,) = self.of_type(effects.AnswerError)
         self.assertIs(errors.Ran.UNKNOWN, answer.ran)
 
-    def test_late_word_of_an_older_attempt_is_dropped(self):
-        """A caller gets the answer of an attempt that was given up.
+    def test_late_message_of_an_older_attempt_is_dropped(self):
+        """Guards against relaying the answer of an abandoned attempt.
 
-        The first sidecar refuses, a second attempt begins; then the first
-        one's link delivers a stale head. Cause: frames matched by request
-        instead of by attempt.
+        The first sidecar refuses and a second attempt begins. Then the first
+        link delivers a stale head, which is relayed if frames are matched by
+        request instead of by attempt.
         """
         peer, attempt_id = self.arrive()
         refused = messages.Failed(
@@ -102,37 +102,38 @@
         self.begin_answer(peer, attempt_id)
         self.assertEqual([], self.effects)
 
-    def test_broken_link_is_resumed_at_the_same_process(self):
+    def test_attempt_is_resumed_at_the_same_process(self):
         peer, attempt_id = self.arrive(key='k')
         self.feed(events.LinkClosed(10, peer))
-        self.open(peer, at_ms=20)
+        self.open_endpoint_link(peer, at_ms=20)
         (resume,) = self.of_type(effects.ResumeAnswer)
         self.assertEqual(attempt_id, resume.attempt_id)
 
-    def test_replaced_sidecar_leaves_the_outcome_unknown(self):
-        """A porting order runs twice after its sidecar was replaced.
+    def test_replaced_sidecar_makes_the_outcome_unknown(self):
+        """Guards against an order that runs twice after a sidecar's restart.
 
-        The link breaks, a new process opens at the address and knows
-        nothing of the attempt; offering it again would run it a second
-        time. Cause: a new incarnation taken for the old one.
+        The link breaks, and a new process at the address knows nothing of the
+        attempt. If the new incarnation is taken for the old one, the attempt
+        is offered again and runs a second time.
         """
         peer, _ = self.arrive(key='k')
         self.feed(events.LinkClosed(10, peer))
-        self.open(peer, incarnation='i2', at_ms=20)
+        self.open_endpoint_link(peer, incarnation='i2', at_ms=20)
         (answer,) = self.of_type(effects.AnswerError)
         self.assertIs(errors.Ran.UNKNOWN, answer.ran)
         self.assertEqual([], self.of_type(effects.Send))
 
     def test_forgotten_attempt_does_not_count_as_not_run(self):
-        """A booking is made twice after a gateway was paused for minutes.
+        """Guards against a booking that is made twice by a paused gateway.
 
-        The gateway offers it and is paused; the sidecar runs it, the link
-        breaks before the answer, and the ended attempt is forgotten. Woken
-        up, the gateway resumes, hears "never seen", and offers it again.
+        The gateway is paused for minutes after an offer. The sidecar runs the
+        attempt, the link breaks before the answer, and the sidecar forgets
+        the ended attempt. The gateway then tries to resume it, is told that
+        it was never seen, and offers it again.
         """
         peer, attempt_id = self.arrive(key='k', deadline_ms=900_000)
         self.feed(events.LinkClosed(100_000, peer))
-        self.open(peer, at_ms=100_001)
+        self.open_endpoint_link(peer, at_ms=100_001)
         never_seen = messages.Failed(
             attempt_id, errors.Kind.ENDPOINT_UNREACHABLE, errors.Ran.NOT_RUN
         )
@@ -141,14 +142,14 @@
         self.assertIs(errors.Kind.OUTCOME_UNKNOWN, answer.kind)
         self.assertIs(errors.Ran.UNKNOWN, answer.ran)
 
-    def test_deadline_gives_the_final_answer_at_once(self):
+    def test_exceeded_deadline_fails_the_request(self):
         self.arrive()
         self.feed(events.Ticked(builders.DEADLINE_MS))
         (answer,) = self.of_type(effects.AnswerError)
         self.assertIs(errors.Kind.DEADLINE_EXCEEDED, answer.kind)
         self.assertEqual(1, len(self.sent(messages.Cancel)))
 
-    def test_stop_waits_for_the_requests_in_flight(self):
+    def test_stop_waits_for_requests_in_flight(self):
         peer, attempt_id = self.arrive()
         self.feed(events.StopRequested(1))
         self.assertEqual([], self.of_type(effects.Exit))
