--- a/test/hosted/test_pauses.py
+++ b/test/hosted/test_pauses.py
@@ -1,4 +1,4 @@
-"""Endpoints that turn a request away and ask for a pause."""
+"""Tests of endpoints that refuse a request and ask for a pause."""
 
 from berylhollow import effects
 from berylhollow import errors
@@ -8,48 +8,48 @@
 
 FIRST = '10.0.0.1:80'
 SECOND = '10.0.0.2:80'
-ROWS = (
+INSTANCES = (
     test_gateway_direct.plain('i-1', FIRST),
     test_gateway_direct.plain('i-2', SECOND),
 )
 
 
 class PauseTest(test_gateway_direct.DirectTestCase):
-    """Guards against requests that reach an endpoint in its pause."""
+    """Guards against requests sent to an endpoint during its pause."""
 
     def configure(self):
         super().configure()
-        self.list(*ROWS)
+        self.list(*INSTANCES)
 
     def pause(self, name, pause_ms, at_ms=110, sent_ms=100):
         notice = events.EndpointNotice(pause_ms=pause_ms)
         self.feed(events.NoticeReceived(at_ms, name, sent_ms, notice))
 
-    def test_nothing_is_sent_until_the_end_of_the_pause(self):
+    def test_no_request_is_sent_during_a_pause(self):
         self.pause('i-1', 1500)
         for at_ms, names in ((200, {'i-2'}), (1600, {'i-2'})):
             self.assertEqual(names, self.chosen(at_ms))
         self.assertIn('i-1', self.chosen(1620))
 
-    def test_later_answer_without_a_pause_ends_none(self):
+    def test_other_answers_do_not_shorten_a_pause(self):
         self.pause('i-1', 1500)
         self.pause('i-1', 0, at_ms=210, sent_ms=200)
         self.pause('i-1', 100, at_ms=220, sent_ms=90)
         self.assertEqual({'i-2'}, self.chosen(1000))
 
-    def test_entry_that_lapses_and_returns_ends_no_pause(self):
+    def test_pause_outlasts_a_gap_in_the_instance_list(self):
         self.pause('i-1', 1500)
-        self.list(ROWS[1], at_ms=150)
-        self.list(*ROWS, at_ms=160)
+        self.list(INSTANCES[1], at_ms=150)
+        self.list(*INSTANCES, at_ms=160)
         self.assertEqual({'i-2'}, self.chosen(1000))
 
-    def test_new_start_has_asked_for_no_pause(self):
+    def test_restarted_endpoint_is_not_paused(self):
         self.pause('i-1', 1500)
-        again = test_gateway_direct.plain('i-1@9', FIRST)
-        self.list(again, ROWS[1], at_ms=150)
+        restarted = test_gateway_direct.plain('i-1@9', FIRST)
+        self.list(restarted, INSTANCES[1], at_ms=150)
         self.assertIn('i-1@9', self.chosen(200))
 
-    def test_callers_get_the_soonest_end_at_once_where_all_pause(self):
+    def test_refusal_has_the_soonest_end_if_all_endpoints_pause(self):
         self.pause('i-1', 3000)
         self.pause('i-2', 1000)
         self.ask(at_ms=300)
@@ -59,8 +59,8 @@
         self.assertGreaterEqual(answer.retry_after_ms, 810)
         self.assertLess(answer.retry_after_ms, 1200)
 
-    def test_last_refusal_brings_the_end_of_its_pause(self):
-        self.list(ROWS[0])
+    def test_refusal_has_the_end_of_the_last_pause(self):
+        self.list(INSTANCES[0])
         self.ask(at_ms=200)
         name, offer = self.offered()
         self.pause(name, 1000, at_ms=210, sent_ms=200)
