--- a/berylhollow/gateway/_claim_leader.py
+++ b/berylhollow/gateway/_claim_leader.py
@@ -1,10 +1,11 @@
 """One gateway appends the claims of a partition for many.
 
-The log takes several hundred appends a second. Few gateways append their
-own batches; with many, each partition has a leader, chosen by rendezvous
-hashing over the live gateways, that appends what the others forward. Two
-leaders at once, or none, are harmless: a verdict is read from the log, which
-has one order, and a gateway whose leader does not answer appends by itself.
+The log accepts several hundred appends a second. While there are few
+gateways, each appends its own batches. With many, each partition has a
+leader, chosen by rendezvous hashing over the listed gateways, which appends
+the batches that the others forward. Two leaders at once, or none, are
+harmless: verdicts are read from the log, which has one order, and a gateway
+whose leader does not answer appends by itself.
 """
 
 import hashlib
@@ -19,11 +20,13 @@
 Effects = list[effects.Effect]
 
 
-def route(state: _state.State, partition: _state.Partition, at_ms: int) -> str:
-    """Return the peer that appends a partition, '' to append here.
+def forwarding_target(
+    state: _state.State, partition: _state.Partition, at_ms: int
+) -> str:
+    """Return the leader to forward the next batch to, '' to append here.
 
-    Entries that others forwarded are appended here in any case: passing
-    them on again could go round in a circle while views differ.
+    A queue with forwarded entries is always appended here: while gateways
+    disagree about the leader, forwarding again could loop.
     """
     if partition.forwarded or at_ms < partition.direct_until_ms:
         return ''
@@ -34,18 +37,18 @@
 
 
 def leader_of(state: _state.State, number: int) -> str:
-    """Return a partition's leader, '' if every gateway appends its own."""
+    """Return a partition's leader, '' if this gateway appends by itself."""
     if len(state.peers) < state.options.claim_direct_gateways:
         return ''
     names = [state.options.instance, *state.peers]
-    best = max(names, key=lambda name: _weight(name, number))
+    best = max(names, key=lambda name: _rendezvous_weight(name, number))
     return '' if best == state.options.instance else best
 
 
-def leaders(state: _state.State) -> list[str]:
-    """Return the leaders of the partitions that this gateway uses."""
-    found = [leader_of(state, number) for number in state.partitions]
-    return [name for name in found if name]
+def peer_leaders(state: _state.State) -> list[str]:
+    """Return the other gateways that lead partitions used here."""
+    names = [leader_of(state, number) for number in state.partitions]
+    return [name for name in names if name]
 
 
 def forward(
@@ -54,7 +57,7 @@
     data: bytes,
     at_ms: int,
 ) -> Effects:
-    """Send the batch that is being appended to the leader."""
+    """Send the batch to the leader; set the deadline of its confirmation."""
     partition.taken_by_ms = at_ms + state.options.claim_forward_ms
     message = messages.ClaimsForwarded(
         partition.number, partition.append_id, data
@@ -63,14 +66,16 @@
 
 
 def forwarded(state: _state.State, event: events.MessageReceived) -> Effects:
-    """Queue what another gateway forwarded; the next tick appends it."""
+    """Queue the entries of a forwarded batch; the next tick appends them."""
     message: messages.ClaimsForwarded = event.message
     if not 0 <= message.partition < state.options.claim_partitions:
-        return [effects.Log('claims of an unknown partition', (), True)]
+        return [
+            effects.Log('forwarded claims name an unknown partition', (), True)
+        ]
     try:
         entries = claims.decode(message.batch)
     except claims.RecordError:
-        return [effects.Log('forwarded claims not understood', (), True)]
+        return [effects.Log('forwarded claims can not be decoded', (), True)]
     partition = _settlement.partition_numbered(state, message.partition)
     batch = _state.ForwardedBatch(event.peer, message.batch_id, len(entries))
     for entry in entries:
@@ -80,9 +85,9 @@
     return []
 
 
-def taken(partition: _state.Partition) -> Effects:
-    """Tell those whose entries are now on the log."""
-    done: Effects = []
+def confirm_batches(partition: _state.Partition) -> Effects:
+    """Confirm each forwarded batch whose entries are all on the log."""
+    result: Effects = []
     for item in partition.appending:
         if item.batch is None:
             continue
@@ -91,12 +96,12 @@
             message = messages.ClaimsTaken(
                 partition.number, item.batch.batch_id
             )
-            done.append(effects.Send(item.batch.peer, message))
-    return done
+            result.append(effects.Send(item.batch.peer, message))
+    return result
 
 
 def confirmed(state: _state.State, event: events.MessageReceived) -> Effects:
-    """The leader has appended our batch; its verdicts follow."""
+    """Handle the leader's confirmation of a batch; its verdicts follow."""
     message: messages.ClaimsTaken = event.message
     partition = state.partitions.get(message.partition)
     if partition is None or partition.append_id != message.batch_id:
@@ -107,32 +112,37 @@
 
 
 def tick(state: _state.State, partition: _state.Partition, at_ms: int) -> None:
-    """Stop waiting for a leader that does not take our batch."""
-    waits = partition.leader and partition.append_id
-    if waits and at_ms >= partition.taken_by_ms:
-        lost(state, partition, at_ms)
+    """Fall back to the log if the leader did not confirm a batch in time."""
+    awaits_leader = partition.leader and partition.append_id
+    if awaits_leader and at_ms >= partition.taken_by_ms:
+        fall_back(state, partition, at_ms)
 
 
 def link_closed(state: _state.State, event: events.LinkClosed) -> None:
-    """Append by ourselves what a lost leader had, or may not have had."""
+    """Append here what a lost leader has not confirmed.
+
+    Claims that the lost peer forwarded need no verdict any more.
+    """
     for partition in state.partitions.values():
         if partition.leader == event.peer:
-            lost(state, partition, event.at_ms)
-        gone = [
+            fall_back(state, partition, event.at_ms)
+        orphaned = [
             claim_id
             for claim_id, peer in partition.forwarded.items()
             if peer == event.peer
         ]
-        for claim_id in gone:
+        for claim_id in orphaned:
             del partition.forwarded[claim_id]
 
 
-def lost(state: _state.State, partition: _state.Partition, at_ms: int) -> None:
-    """Fall back to the log for a while.
+def fall_back(
+    state: _state.State, partition: _state.Partition, at_ms: int
+) -> None:
+    """Queue all that the leader may not have appended, to append it here.
 
-    Undecided claims are appended again under the same claim id: if the
-    leader had appended them, the second entry changes nothing and reading
-    it gives the same verdict.
+    For ``claim_fallback_ms`` this gateway appends by itself. Undecided
+    claims keep their claim id: if the leader had appended them, the second
+    entry changes nothing and has the same verdict.
     """
     partition.direct_until_ms = at_ms + state.options.claim_fallback_ms
     settled = [
@@ -148,14 +158,15 @@
         for item in partition.queue
         if isinstance(item.entry, claims.Claim)
     }
-    again = [
+    reclaimed = [
         _state.QueuedEntry(_settlement.claim_entry(state.requests[request_id]))
         for claim_id, request_id in partition.undecided.items()
         if claim_id not in queued and request_id in state.requests
     ]
-    partition.queue[:0] = [*settled, *again]
+    partition.queue[:0] = [*settled, *reclaimed]
 
 
-def _weight(name: str, number: int) -> bytes:
+def _rendezvous_weight(name: str, number: int) -> bytes:
+    """Return the rendezvous weight of a gateway for a partition."""
     text = f'{name}/claims/{number}'
     return hashlib.blake2b(text.encode(), digest_size=8).digest()
--- a/berylhollow/gateway/_claims.py
+++ b/berylhollow/gateway/_claims.py
@@ -1,7 +1,7 @@
-"""Claims of the keys of non-idempotent requests, before they are offered.
+"""Claims the idempotency key of a request before the request is offered.
 
-A claim is decided only by what was read from the log up to the claim itself;
-that the append was confirmed says nothing about who came first.
+A claim is decided only by the log records up to and including the claim
+itself. A confirmed append does not show which of two claims came first.
 """
 
 from berylhollow import claims
@@ -21,7 +21,7 @@
 def claim(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> Effects:
-    """Ask for the key of a request; it waits until the log has decided."""
+    """Queue a claim of the key; hold the request until it is decided."""
     request = active.request
     active.phase = _state.Phase.CLAIMING
     active.key = claims.digest_key(
@@ -32,37 +32,37 @@
     partition = _settlement.partition_of(state, active.key)
     partition.undecided[active.claim_id] = request.request_id
     partition.queue.append(_state.QueuedEntry(_settlement.claim_entry(active)))
-    return _flush(state, partition, at_ms)
+    return _append_batch(state, partition, at_ms)
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Append what waits, read what is undecided, end what took too long."""
-    done: Effects = []
+    """Refuse overdue claims, append queued entries and read the log."""
+    result: Effects = []
     for partition in state.partitions.values():
-        done += _give_up_late(state, partition, at_ms)
+        result += _refuse_overdue(state, partition, at_ms)
         _claim_leader.tick(state, partition, at_ms)
-        done += _flush(state, partition, at_ms)
-        done += _read(state, partition, at_ms)
-    return done
+        result += _append_batch(state, partition, at_ms)
+        result += _read_log(state, partition, at_ms)
+    return result
 
 
 def appended(state: _state.State, event: events.Appended) -> Effects:
-    """A batch is on the log; reading it decides."""
+    """Handle a confirmed append: read the log to decide its claims."""
     partition = _settlement.partition_with(state, event.stream)
     if partition is None or partition.append_id != event.append_id:
         return []
-    done = _claim_leader.taken(partition)
+    result = _claim_leader.confirm_batches(partition)
     partition.appending = []
     partition.append_id = ''
-    done += _flush(state, partition, event.at_ms)
-    return done + _read(state, partition, event.at_ms)
+    result += _append_batch(state, partition, event.at_ms)
+    return result + _read_log(state, partition, event.at_ms)
 
 
 def append_failed(state: _state.State, event: events.AppendFailed) -> Effects:
-    """Refuse what was surely not appended, settle the rest by reading.
+    """Refuse claims known not to be appended; read the log for the others.
 
-    Entries that tell how a claim ended are appended again in either case:
-    the ledger takes a second one for the first.
+    ``Settled`` entries are queued again in either case: the ledger applies
+    duplicates only once.
     """
     partition = _settlement.partition_with(state, event.stream)
     if partition is None or partition.append_id != event.append_id:
@@ -75,16 +75,16 @@
         item for item in batch if isinstance(item.entry, claims.Settled)
     ]
     if event.certainty is events.Certainty.UNKNOWN:
-        return _read(state, partition, event.at_ms)
-    done: Effects = []
+        return _read_log(state, partition, event.at_ms)
+    result: Effects = []
     for item in batch:
         if isinstance(item.entry, claims.Claim):
-            done += _not_appended(state, partition, item)
-    return done
+            result += _refuse_unappended(state, partition, item)
+    return result
 
 
 def log_read(state: _state.State, event: events.LogRead) -> Effects:
-    """Decide the claims that the records which were read contain."""
+    """Apply the records read to the ledger and decide the claims in them."""
     partition = _settlement.partition_with(state, event.stream)
     if partition is None:
         return []
@@ -92,51 +92,58 @@
     partition.read_from_ms = event.at_ms + state.options.claim_poll_ms
     ledger = partition.ledger
     if event.first_offset > ledger.next_offset:
-        ledger = _start_over(state, partition, event.first_offset)
-    done: Effects = []
+        ledger = _reset_ledger(state, partition, event.first_offset)
+    result: Effects = []
     for record in event.entries:
         for entry in ledger.apply(record):
             if isinstance(entry, claims.Claim):
-                decided = (entry, record.at_ms, event.at_ms)
-                done += _decide(state, partition, *decided)
+                arguments = (entry, record.at_ms, event.at_ms)
+                result += _decide_claim(state, partition, *arguments)
     if event.entries:
-        done += _read(state, partition, event.at_ms)
-    return done
+        result += _read_log(state, partition, event.at_ms)
+    return result
 
 
 def log_read_failed(
     state: _state.State, event: events.LogReadFailed
 ) -> Effects:
-    """Read again later; from the oldest record if ours are gone."""
+    """Retry later, from the oldest record if the next offset was trimmed."""
     partition = _settlement.partition_with(state, event.stream)
     if partition is None:
         return []
     partition.reading = False
     partition.read_from_ms = event.at_ms + state.options.claim_retry_ms
     if event.first_offset is not None:
-        _start_over(state, partition, event.first_offset)
+        _reset_ledger(state, partition, event.first_offset)
     return []
 
 
-def _start_over(
+def _reset_ledger(
     state: _state.State, partition: _state.Partition, first_offset: int
 ) -> claims.Ledger:
-    """Read all that is kept: retention is longer than a claim's window."""
+    """Start an empty ledger at the oldest record that the log still has.
+
+    No claim in force is lost: the log's retention is longer than the window
+    for which a claim holds its key.
+    """
     partition.ledger = claims.Ledger(
         state.options.claim_window_ms, next_offset=first_offset
     )
     return partition.ledger
 
 
-def _flush(
+def _append_batch(
     state: _state.State, partition: _state.Partition, at_ms: int
 ) -> Effects:
-    """Append one batch at a time: the log takes few appends a second."""
+    """Append the next batch, or forward it to the partition's leader.
+
+    One batch is in flight at a time: the log accepts few appends a second.
+    """
     if partition.append_id or not partition.queue:
         return []
     if at_ms < partition.append_from_ms:
         return []
-    leader = _claim_leader.route(state, partition, at_ms)
+    leader = _claim_leader.forwarding_target(state, partition, at_ms)
     size = state.options.claim_batch
     partition.appending = partition.queue[:size]
     del partition.queue[:size]
@@ -150,9 +157,10 @@
     return [effects.Append(partition.stream, partition.append_id, data)]
 
 
-def _read(
+def _read_log(
     state: _state.State, partition: _state.Partition, at_ms: int
 ) -> Effects:
+    """Read on in the log if a claim is undecided and no read is in flight."""
     if partition.reading or partition.leader:
         return []
     if not partition.undecided and not partition.forwarded:
@@ -163,14 +171,14 @@
     return [effects.ReadLog(partition.stream, partition.ledger.next_offset)]
 
 
-def _decide(
+def _decide_claim(
     state: _state.State,
     partition: _state.Partition,
     entry: claims.Claim,
     log_ms: int,
     at_ms: int,
 ) -> Effects:
-    """Run the request if its claim holds the key, else say what does."""
+    """Settle a claim of our own, or send the verdict to who forwarded it."""
     holding = partition.ledger.holdings.get(entry.key)
     peer = partition.forwarded.pop(entry.claim_id, None)
     if peer is not None:
@@ -190,7 +198,7 @@
 
 
 def decided(state: _state.State, event: events.MessageReceived) -> Effects:
-    """The leader of a partition read what the log says of our claim."""
+    """Handle the leader's verdict on a claim that this gateway forwarded."""
     message: messages.ClaimDecided = event.message
     partition = state.partitions.get(message.partition)
     if partition is None:
@@ -208,10 +216,10 @@
     verdict: _claim_verdict.Verdict,
     at_ms: int,
 ) -> Effects:
-    """Run a request whose claim holds its key, answer any other.
+    """Place a request whose claim holds its key; refuse any other.
 
-    A verdict that comes twice, or after the request was given up, finds
-    nothing undecided: the request is never begun by it.
+    A duplicate verdict, or one after the request was given up, has no
+    effect, since the claim is no longer in ``undecided``.
     """
     request_id = partition.undecided.pop(claim_id, None)
     active = state.requests.get(request_id)
@@ -229,6 +237,7 @@
     active: _state.ActiveRequest,
     verdict: _claim_verdict.Verdict,
 ) -> Effects:
+    """Send the stored answer of an earlier request, or the verdict's error."""
     if verdict.answer is not None:
         stored = verdict.answer
         answer = effects.AnswerStored(
@@ -243,12 +252,15 @@
     )
 
 
-def _not_appended(
+def _refuse_unappended(
     state: _state.State,
     partition: _state.Partition,
     item: _state.QueuedEntry,
 ) -> Effects:
-    """Refuse a claim that is surely not on the log: nothing to void."""
+    """Refuse a claim that is known not to be on the log.
+
+    No NOT_RUN entry has to void it.
+    """
     claim_id = item.entry.claim_id
     peer = partition.forwarded.pop(claim_id, None)
     if peer is not None:
@@ -260,30 +272,31 @@
     active = state.requests.get(partition.undecided.get(claim_id))
     if active is not None:
         active.claim_lost = True
-    return _unavailable(state, partition, claim_id)
+    return _refuse_undecided(state, partition, claim_id)
 
 
-def _give_up_late(
+def _refuse_overdue(
     state: _state.State, partition: _state.Partition, at_ms: int
 ) -> Effects:
-    done: Effects = []
+    """Refuse the requests whose claims were not decided by their deadline."""
+    result: Effects = []
     for claim_id, request_id in list(partition.undecided.items()):
         active = state.requests.get(request_id)
         if active is None:
             del partition.undecided[claim_id]
         elif at_ms >= active.claim_by_ms:
-            done += _unavailable(state, partition, claim_id)
-    return done
+            result += _refuse_undecided(state, partition, claim_id)
+    return result
 
 
-def _unavailable(
+def _refuse_undecided(
     state: _state.State, partition: _state.Partition, claim_id: str
 ) -> Effects:
     """Refuse a request whose claim the log did not decide in time.
 
-    "Not run" is true: only this gateway may run the claim, and it forgets
-    it here. The NOT_RUN entry that follows voids the claim if it was, or
-    will be, appended after all.
+    The answer NOT_RUN is correct: only this gateway may run the request,
+    and it drops the claim here. The NOT_RUN entry that follows voids the
+    claim if it was, or will be, appended after all.
     """
     request_id = partition.undecided.pop(claim_id, None)
     active = state.requests.get(request_id)
--- a/berylhollow/gateway/_coordinator.py
+++ b/berylhollow/gateway/_coordinator.py
@@ -1,9 +1,10 @@
-"""Permits to load from the weight store, for the sidecars that ask.
+"""Grants sidecars permits to load adapters from the weight store.
 
-Every gateway can do this; the sidecars agree by rendezvous on one. Nothing
-rests on it: the permits only keep the sidecars from running into the weight
-store's limits, and make them load what is worth most first. A gateway that
-takes over begins with an empty book and is told all wishes anew.
+Any gateway can be the coordinator; the sidecars choose one by rendezvous
+hashing. Correctness doesn't depend on it: permits only keep the sidecars
+within the weight store's limits and let the most valuable loads go first. A
+gateway that takes over starts without state, and all sidecars send it their
+requests again.
 """
 
 from berylhollow import effects
@@ -12,40 +13,45 @@
 from berylhollow import messages
 
 Effects = list[effects.Effect]
-SMOOTHING = 0.2
+LOAD_TIME_SMOOTHING = 0.2
+"""Weight of the latest load in the average load time."""
+
 LAPSE_FACTOR = 4
+"""A permit is valid for this many average load times, or for
+``load_lapse_ms`` if that is longer."""
+
 MS_PER_SECOND = 1000
 
 
 def wanted(state: _state.State, event: events.MessageReceived) -> Effects:
-    """Note a sidecar's best wish and grant what can be granted."""
+    """Store the load that a sidecar wants most; grant permits or defer it."""
     book = state.load_book
     message = event.message
     book.wishes[event.peer] = _state.Wish(message, event.at_ms)
-    done = _grant(state, event.at_ms)
+    result = _grant_permits(state, event.at_ms)
     if event.peer in book.wishes:
         spacing_ms = max(book.load_ms, MS_PER_SECOND / book.rate.rate_per_s)
         wait_ms = int(len(book.wishes) * spacing_ms)
         deferred = messages.LoadDeferred(message.adapter, wait_ms)
-        done.append(effects.Send(event.peer, deferred))
-    return done
+        result.append(effects.Send(event.peer, deferred))
+    return result
 
 
 def ended(state: _state.State, event: events.MessageReceived) -> Effects:
-    """A sidecar gives its permit back."""
+    """Take back the permit of a load that ended, and grant the next."""
     book = state.load_book
     permit = book.permits.pop(event.message.permit, None)
     if permit is not None and event.message.loaded:
         took_ms = event.at_ms - permit.granted_ms
-        book.load_ms += SMOOTHING * (took_ms - book.load_ms)
-    return _grant(state, event.at_ms)
+        book.load_ms += LOAD_TIME_SMOOTHING * (took_ms - book.load_ms)
+    return _grant_permits(state, event.at_ms)
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Let permits lapse and old wishes go, and grant the next.
+    """Drop lapsed permits and old requests for one, and grant the next.
 
-    Guards against a load that hangs and a sidecar that died with its
-    permit: the others would wait for ever.
+    Without this, a load that hangs or a sidecar that dies with its permit
+    would block the other sidecars for ever.
     """
     book = state.load_book
     for number in [
@@ -59,29 +65,36 @@
         peer for peer, wish in book.wishes.items() if wish.at_ms < oldest_ms
     ]:
         del book.wishes[peer]
-    return _grant(state, at_ms)
+    return _grant_permits(state, at_ms)
 
 
-def _grant(state: _state.State, at_ms: int) -> Effects:
+def _grant_permits(state: _state.State, at_ms: int) -> Effects:
+    """Grant permits, most valuable load first, within limit and rate."""
     book = state.load_book
-    done: Effects = []
+    result: Effects = []
     while book.wishes and len(book.permits) < state.options.loads_at_once:
         if not book.rate.take(at_ms):
             break
-        peer = max(book.wishes, key=lambda name: _urgency(book, name))
-        done.append(_permit(state, peer, at_ms))
-    return done
+        peer = max(book.wishes, key=lambda name: _load_value(book, name))
+        result.append(_issue_permit(state, peer, at_ms))
+    return result
 
 
-def _urgency(book: _state.LoadBook, peer: str) -> tuple[float, str]:
+def _load_value(book: _state.LoadBook, peer: str) -> tuple[float, str]:
+    """Return the value of a sidecar's load, and its name to break ties."""
     return book.wishes[peer].message.value, peer
 
 
-def _permit(state: _state.State, peer: str, at_ms: int) -> effects.Send:
+def _issue_permit(state: _state.State, peer: str, at_ms: int) -> effects.Send:
+    """Issue a permit for the load that a sidecar wants."""
     book = state.load_book
     wish = book.wishes.pop(peer)
     book.granted += 1
-    for_ms = int(max(state.options.load_lapse_ms, LAPSE_FACTOR * book.load_ms))
-    book.permits[book.granted] = _state.Permit(peer, at_ms, at_ms + for_ms)
-    granted = messages.LoadGranted(wish.message.adapter, book.granted, for_ms)
+    valid_ms = int(
+        max(state.options.load_lapse_ms, LAPSE_FACTOR * book.load_ms)
+    )
+    book.permits[book.granted] = _state.Permit(peer, at_ms, at_ms + valid_ms)
+    granted = messages.LoadGranted(
+        wish.message.adapter, book.granted, valid_ms
+    )
     return effects.Send(peer, granted)
--- a/berylhollow/gateway/_fleet.py
+++ b/berylhollow/gateway/_fleet.py
@@ -9,8 +9,10 @@
 from berylhollow import policy
 
 UNKNOWN_CAPACITY = 1
+"""Requests that an endpoint runs at once, where neither report nor list
+says."""
 HOLDERS = 16
-"""Holders of an adapter that are compared for one request."""
+"""How many holders of an adapter are compared for one request."""
 
 
 class Fleet:
@@ -37,7 +39,10 @@
         return self._usable(self.state.placement.digests.get(self.service, {}))
 
     def sample(self, seed: float, count: int) -> list[str]:
-        """Return some endpoints, evenly spread, without a scan."""
+        """Return at most ``count`` endpoints, evenly spread.
+
+        Avoids a scan of the service unless none of them may be chosen.
+        """
         members = self.state.placement.names(self.service)
         return self._usable(_spread(members, seed, count)) or self.names()
 
@@ -45,7 +50,7 @@
         return [name for name in names if self.may_choose(name)]
 
     def may_choose(self, name: str) -> bool:
-        """Tell whether an endpoint takes work and was not tried yet."""
+        """Tell whether an endpoint accepts work and was not tried yet."""
         endpoint = self.state.endpoints.get(name)
         return (
             endpoint is not None
@@ -58,23 +63,24 @@
         )
 
     def holders(self, adapter: messages.AdapterVersion) -> list[str]:
-        """Return those that hold an adapter, ready to run it.
+        """Return endpoints that hold an adapter, ready to run it.
 
-        Of many that do, some: a popular adapter is held by hundreds of ten
-        thousand endpoints, and to compare them all took ten milliseconds a
-        request. Among a dozen and a half the least busy is nearly the least.
+        Only some are returned if many hold it: a popular adapter is held by
+        hundreds of ten thousand endpoints, and comparing them all took ten
+        milliseconds a request. The least busy of a dozen and a half is
+        nearly the least busy of all.
         """
         versions = self.state.follower.current.acceptable(adapter, self.at_ms)
         for version in versions:
             ready = self.state.placement.ready.get(version, ())
-            some = _spread(list(ready), self.seed, HOLDERS)
-            names = self._usable(some) or self._usable(ready)
+            sampled = _spread(list(ready), self.seed, HOLDERS)
+            names = self._usable(sampled) or self._usable(ready)
             if names:
                 return names
         return []
 
     def awaiting(self, adapter: messages.AdapterVersion) -> list[str]:
-        """Return those that load it, or where requests wait for a load."""
+        """Return endpoints that load it, or where requests wait for it."""
         names = self.state.placement.awaiting(adapter, self.at_ms)
         return [name for name in names if self.may_choose(name)]
 
@@ -83,19 +89,19 @@
     ) -> collections.abc.Iterator[str]:
         """Yield endpoints in the rendezvous order of an adapter.
 
-        All others follow the head of the order that is cached, in a fixed
-        order, so that one is found when the whole head is down.
+        Only the head of that order is cached. All other endpoints follow it
+        in a fixed order, so that one is found when the whole head is down.
         """
         head = self.state.placement.order(self.service, adapter)
         yield from (name for name in head if self.may_choose(name))
         yield from (name for name in self.names() if name not in head)
 
     def held_lately(self, name: str, adapter: messages.AdapterVersion) -> bool:
-        """Tell whether an endpoint had an adapter not long ago."""
+        """Tell whether an endpoint recently held an adapter."""
         return self.state.placement.held_lately(name, adapter)
 
     def view(self, name: str) -> policy.EndpointView:
-        """Return what is known of one endpoint."""
+        """Return the load and capacity of an endpoint, as far as known."""
         endpoint = self.state.endpoints[name]
         report = endpoint.report
         backlog_ms = _backlog.before(self.state, endpoint, self.active)
@@ -128,8 +134,8 @@
     def in_flight(self, endpoint: _state.Endpoint) -> int:
         """Return how many requests an endpoint has, as far as is known.
 
-        What we placed there is known exactly; a report adds what other
-        gateways placed, as of the time it was made.
+        The requests placed by this gateway are known exactly; a report adds
+        those that other gateways had placed when it was made.
         """
         own = len(endpoint.placed)
         report = endpoint.report
@@ -144,7 +150,7 @@
         return min(names, key=self.load_of, default=None)
 
     def load_of(self, name: str) -> tuple[float, str]:
-        """Return the load of an endpoint, and its name to break ties."""
+        """Return the load per capacity, and the name to break ties."""
         endpoint = self.state.endpoints[name]
         capacity = endpoint.instance.capacity or UNKNOWN_CAPACITY
         if endpoint.report is not None:
@@ -152,7 +158,7 @@
         return self.in_flight(endpoint) / capacity, name
 
     def load_wait_ms(self) -> float:
-        """Return how long a load ordered now takes to be ready."""
+        """Return the expected time until a load ordered now is ready."""
         waiting = self.state.placement.loads_waiting.get(self.service, 0)
         return (waiting + 1) * self.state.options.load_interval_ms
 
@@ -160,7 +166,7 @@
 def _spread(
     names: collections.abc.Sequence[str], seed: float, count: int
 ) -> collections.abc.Sequence[str]:
-    """Return up to ``count`` of the names, evenly spread from a place on."""
+    """Return at most ``count`` names, evenly spread, starting at ``seed``."""
     start = int(seed * len(names))
     if len(names) <= count:
         return [*names[start:], *names[:start]]
--- a/berylhollow/gateway/_link_pacing.py
+++ b/berylhollow/gateway/_link_pacing.py
@@ -1,11 +1,11 @@
-"""When a link is tried, so that many gateways don't try all at once.
-
-Guards against a herd: a rack or a region comes back and every gateway opens
-every link in the same moment, or goes on asking at the pace of its ticks
-while the rack is away. It shows as thousands of handshakes a second that
-delay the work of those who are well. It holds since a link that is refused
-again and again is tried ever more seldom, at moments that differ from
-gateway to gateway, and a gateway opens only so many at a time.
+"""Back-off, jitter and a limit for the links that a gateway opens.
+
+Guards against a thundering herd: a rack or a region comes back and every
+gateway opens every link at the same moment, or retries at every tick while
+the rack is away. The thousands of handshakes a second would delay work at
+healthy endpoints. Retries of a refused link therefore back off, at times
+that differ between gateways, and a gateway opens a limited number of links
+at once.
 """
 
 from berylhollow.gateway import _state
@@ -15,22 +15,22 @@
 
 
 def pause_ms(state: _state.State, peer: str, refusals: int) -> int:
-    """Return how long to wait after a link was refused so many times."""
+    """Return the back-off after so many refusals, with jitter."""
     options = state.options
     doublings = min(max(0, refusals - 1), MAX_DOUBLINGS)
-    longest_ms = options.link_retry_ms * 2**doublings
-    longest_ms = min(longest_ms, options.link_retry_most_ms)
-    return int(longest_ms * (0.5 + spread.fraction(state.seed, peer)))
+    backoff_ms = options.link_retry_ms * 2**doublings
+    backoff_ms = min(backoff_ms, options.link_retry_most_ms)
+    return int(backoff_ms * (0.5 + spread.fraction(state.seed, peer)))
 
 
 def first_pause_ms(state: _state.State, peer: str) -> int:
-    """Return how long to wait after a link that carried nothing broke."""
+    """Return the pause before an idle link that broke is reopened."""
     fraction = spread.fraction(state.seed, peer)
     return int(state.options.link_spread_ms * fraction)
 
 
-def room(state: _state.State) -> int:
-    """Return how many more links may be opened now."""
+def opening_capacity(state: _state.State) -> int:
+    """Return how many more links may be opening at once."""
     opening = len(state.peers_opening) + sum(
         endpoint.link is _state.LinkPhase.OPENING
         for endpoint in state.endpoints.values()
@@ -38,11 +38,11 @@
     return max(0, state.options.links_opening - opening)
 
 
-def in_own_order(state: _state.State, names: list[str]) -> list[str]:
-    """Begin somewhere else than other gateways do.
+def rotate(state: _state.State, names: list[str]) -> list[str]:
+    """Return the names rotated to a start that differs between gateways.
 
-    All read the same instance list; in its order they would all come to the
-    same few sidecars first.
+    All gateways read the same instance list. In its order they would all
+    open links to the same few sidecars first.
     """
     start = int(state.seed * len(names))
     return names[start:] + names[:start]
--- a/berylhollow/gateway/_links.py
+++ b/berylhollow/gateway/_links.py
@@ -17,25 +17,28 @@
 
 
 class Owner(typing.Protocol):
-    """What the links report to the shell."""
+    """Receives the events and messages of the links."""
 
     def feed(self, event: events.Event) -> None:
-        """Take an event."""
+        """Handle an event."""
 
     def message(self, peer: str, message: messages.Message) -> None:
-        """Take a message of a peer."""
+        """Handle a message from a peer."""
 
 
 @dataclasses.dataclass(slots=True)
 class OpenLink:
-    """The link in use with a peer, and which of the two opened it."""
+    """The link in use with a peer, and the name of the end that opened it."""
 
     link: links.Link
     opener: str
 
 
 class _Handler:
-    """Knows, for the links of one origin, which peer we meant to reach."""
+    """Passes link events on with the peer that a client meant to reach.
+
+    ``expected`` is None for links that were accepted by the server.
+    """
 
     def __init__(self, owner: 'Links', expected: str | None):
         self.owner = owner
@@ -52,11 +55,11 @@
 
 
 class Links:
-    """At most one link in use with each peer.
+    """Keeps at most one link in use with each peer.
 
     Two gateways may open links to each other at the same moment. Both ends
-    then keep the one that the gateway with the lower name opened: if each
-    kept the newest as it sees it, each might close the one that the other
+    then keep the link that the gateway with the lower name opened. If each
+    kept the link that it saw last, each could close the one that the other
     kept, again and again.
     """
 
@@ -101,7 +104,7 @@
         await self.server.stop()
 
     def open(self, effect: effects.OpenLink) -> None:
-        """Open a link; feeds LinkOpened or LinkRefused later on."""
+        """Start to open a link; LinkOpened or LinkRefused is fed later."""
         if effect.peer in self.clients:
             return
         host, _, port = effect.address.rpartition(':')
@@ -118,7 +121,7 @@
         client.start()
 
     def close(self, effect: effects.CloseLink) -> None:
-        """Close the links with a peer after what was sent on them."""
+        """Close the links with a peer once all messages sent are written."""
         client = self.clients.get(effect.peer)
         if client is not None:
             client.link.close()
@@ -133,12 +136,12 @@
             current.link.send(message)
 
     def link_up(self, link: links.Link, expected: str | None) -> None:
-        """Take a new link into use, unless a better one is."""
+        """Use a new link, unless the one in use takes precedence."""
         name = link.peer.instance_id
         if expected is not None and name != expected:
-            # The address now belongs to another instance. Work for the one
-            # that was listed here must not go to it under that name.
-            LOG.warning('link to %s reached %s', expected, name)
+            # The address now belongs to another instance, which must not
+            # get work meant for the instance that was listed there.
+            LOG.warning('link to %s reached %s instead', expected, name)
             link.close(links.Reason.REPLACED)
             return
         role = ROLES.get(link.peer.role)
@@ -152,7 +155,7 @@
             if current.opener != opener and opener != min(name, self.instance):
                 link.close(links.Reason.REPLACED)
                 return
-            self._closed(name)
+            self._remove_link(name)
             current.link.close(links.Reason.REPLACED)
         self.open_links[name] = OpenLink(link, opener)
         self.owner.feed(
@@ -172,16 +175,17 @@
             self.owner.message(name, message)
 
     def link_down(self, link: links.Link, expected: str | None) -> None:
-        """Report the end of the link in use, or that none came about."""
+        """Feed LinkClosed for the link in use, or LinkRefused."""
         if expected is not None:
             self.clients.pop(expected, None)
         name = link.peer.instance_id if link.peer else None
         current = self.open_links.get(name) if name else None
         if current is not None and current.link is link:
-            self._closed(name)
+            self._remove_link(name)
         elif expected is not None and expected not in self.open_links:
             self.owner.feed(events.LinkRefused(self.time.now_ms(), expected))
 
-    def _closed(self, name: str) -> None:
+    def _remove_link(self, name: str) -> None:
+        """Remove the link in use with a peer and feed LinkClosed."""
         del self.open_links[name]
         self.owner.feed(events.LinkClosed(self.time.now_ms(), name))
--- a/berylhollow/gateway/_membership.py
+++ b/berylhollow/gateway/_membership.py
@@ -1,8 +1,8 @@
-"""Which endpoints there are, and the links to their sidecars.
+"""Tracks the endpoints and gateways listed, and opens links to endpoints.
 
-The instance list lags, so it only says whom to try. Whether an endpoint
-takes work is known from its own sidecar: an open link, its reports, and its
-refusal of an offer.
+The instance list lags, so it only says which endpoints to try. Whether an
+endpoint that is not direct accepts work is known from its sidecar: an open
+link, its reports, and its refusal of an offer.
 """
 
 from berylhollow import effects
@@ -20,85 +20,86 @@
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Read the instance list when it is due, open links that are missing."""
-    done: Effects = []
-    if at_ms - state.instances_read_ms >= _poll_ms(state, at_ms):
+    """Read the instance list when it is due; open and close links."""
+    result: Effects = []
+    if at_ms - state.instances_read_ms >= _poll_interval_ms(state, at_ms):
         state.instances_read_ms = at_ms
-        done.append(effects.ReadInstances())
+        result.append(effects.ReadInstances())
     due: list[str] = []
     for name, endpoint in state.endpoints.items():
-        done += _end_hold(state, endpoint, at_ms)
-        if _may_open(endpoint, at_ms):
+        result += _end_expired_hold(state, endpoint, at_ms)
+        if _is_link_due(endpoint, at_ms):
             due.append(name)
-        done += _say_farewell(name, endpoint)
-    return done + _open_links(state, due) + _sidecars.tick(state, at_ms)
+        result += _close_if_drained(name, endpoint)
+    return result + _open_links(state, due) + _sidecars.tick(state, at_ms)
 
 
-def _poll_ms(state: _state.State, at_ms: int) -> int:
-    """Return the pause between two reads of the instance list."""
-    if _is_lost(state, at_ms):
+def _poll_interval_ms(state: _state.State, at_ms: int) -> int:
+    """Return the interval between reads, a shorter one while they fail."""
+    if _is_list_lost(state, at_ms):
         return min(
             state.options.instance_poll_ms, state.options.instance_retry_ms
         )
     return state.options.instance_poll_ms
 
 
-def _is_lost(state: _state.State, at_ms: int) -> bool:
+def _is_list_lost(state: _state.State, at_ms: int) -> bool:
     return state.list_age_ms(at_ms) >= state.options.instance_lost_ms
 
 
-def _end_hold(
+def _end_expired_hold(
     state: _state.State, endpoint: _state.Endpoint, at_ms: int
 ) -> Effects:
-    """Send nothing more to an endpoint that did not come back in time.
+    """Stop using an endpoint that was not listed again by its deadline.
 
-    Guards against one that is off the list and is sent requests until the
-    next list is read. Not while the list is lost: an outage that follows on
-    another gives nobody the time to come back.
+    Otherwise an endpoint that has left the list would be sent requests until
+    the next list is read. Nothing is dropped while the list is unavailable:
+    after one outage, a second would leave the endpoints no time to be listed
+    again.
     """
     until_ms = endpoint.instance.until_ms
     if until_ms is None or at_ms < until_ms or not endpoint.listed:
         return []
-    if _is_lost(state, at_ms):
+    if _is_list_lost(state, at_ms):
         return []
     endpoint.listed = False
-    return [_told('endpoint did not come back', endpoint.instance)]
+    return [_endpoint_log('endpoint did not come back', endpoint.instance)]
 
 
 def tick_follower(state: _state.State, at_ms: int) -> Effects:
-    """Let the configuration follower ask for what it is missing."""
+    """Announce a new configuration; let its follower fetch what it lacks."""
     view = state.follower.current
-    done = following.announce(state.served_revision, view)
-    if done:
-        # Which endpoints have a sidecar is known by the configuration. Where
-        # the list came first, links and loads would wait for the next one,
-        # up to 0.7 s after every start.
+    result = following.announce(state.served_revision, view)
+    if result:
+        # The configuration says which endpoints have a sidecar. If the list
+        # was read before the configuration, links and loads would otherwise
+        # wait for the next list, up to 0.7 s after every start.
         _sidecars.listed(state)
         _quotas.declared(state, at_ms)
-        done += _sidecars.tick(state, at_ms)
+        result += _sidecars.tick(state, at_ms)
     state.served_revision = view.revision if view else 0
     gateways = [state.options.instance, *state.peers]
-    return done + state.follower.tick(
-        at_ms, gateways, _open_peers(state), state.options.instance
+    return result + state.follower.tick(
+        at_ms, gateways, _linked_peers(state), state.options.instance
     )
 
 
 def listed(state: _state.State, event: events.InstancesListed) -> Effects:
-    """Take the instance list in; drop an endpoint that left it.
+    """Apply a new instance list; drop idle endpoints that are not in it.
 
-    An endpoint that is no longer listed stays while attempts are in flight
-    there: the list may be wrong, and its answers are still owed to callers.
+    An unlisted endpoint is kept while attempts are in flight there: the list
+    may be wrong, and callers still wait for its answers.
     """
     state.listed_ms = event.at_ms
     rows = {row.instance: row for row in event.instances}
-    done: Effects = []
+    result: Effects = []
     for name, row in rows.items():
         if name == state.options.instance:
             continue
         if row.role is events.Role.GATEWAY:
             state.peers[name] = row
         else:
-            done += _endpoint_listed(state, row)
+            result += _update_endpoint(state, row)
     for name in [name for name in state.peers if name not in rows]:
         del state.peers[name]
         state.peer_refusals.pop(name, None)
@@ -107,7 +108,7 @@
         endpoint = state.endpoints[name]
         if not endpoint.placed:
             if not endpoint.leaving:
-                done += _crashes.over(state, name, event.at_ms)
+                result += _crashes.over(state, name, event.at_ms)
             state.placement.remove(
                 name, endpoint.instance.service, endpoint.report
             )
@@ -115,45 +116,47 @@
             _notices.forget(state, endpoint)
             _model_loads.forget(state, name, endpoint.instance.service)
             _sidecars.forget(state, name)
-            done.append(_gone(endpoint))
+            result.append(_removal_effect(endpoint))
         elif endpoint.instance.direct:
-            # Its answers are still owed, but it gets nothing new.
+            # Callers wait for its answers, but it gets no new requests.
             endpoint.listed = False
-    done += _superseded(state, event.instances, event.at_ms)
+    result += _mark_superseded(state, event.instances, event.at_ms)
     _sidecars.listed(state)
-    done += state.follower.handle(event)
-    return done + tick(state, event.at_ms)
+    result += state.follower.handle(event)
+    return result + tick(state, event.at_ms)
 
 
-def _superseded(
+def _mark_superseded(
     state: _state.State, rows: tuple[events.Instance, ...], at_ms: int
 ) -> Effects:
-    """Send nothing more to an incarnation whose address another has taken.
+    """Stop using an incarnation whose address a newer one has taken.
 
-    The list shows both for some seconds, the one that wrote last at the end.
-    Guards against requests that are refused by the new one, time and again.
-    Decided anew from each list: the one that lives writes again and is the
-    last then, so that no other entry takes its address from it for good.
+    The list shows both for some seconds, with the last to write at the end.
+    Requests to the old incarnation would be refused by the new one again and
+    again. Each list decides anew: the incarnation that is alive writes again
+    and is then the last, so a wrong entry can't take its address for good.
     """
-    latest = {row.address: row for row in rows if _taken_up(state, row)}
-    done: Effects = []
+    latest = {
+        row.address: row for row in rows if _is_direct_target(state, row)
+    }
+    result: Effects = []
     for row in rows:
-        if not _taken_up(state, row):
+        if not _is_direct_target(state, row):
             continue
         endpoint = state.endpoints[row.instance]
         was_superseded = endpoint.superseded
         endpoint.superseded = latest[row.address] is not row
         if endpoint.superseded and not (was_superseded or endpoint.leaving):
-            done.append(_told('endpoint superseded', row))
-            done += _crashes.over(state, row.instance, at_ms)
-    return done
+            result.append(_endpoint_log('endpoint superseded', row))
+            result += _crashes.over(state, row.instance, at_ms)
+    return result
 
 
-def _taken_up(state: _state.State, row: events.Instance) -> bool:
+def _is_direct_target(state: _state.State, row: events.Instance) -> bool:
     """Tell whether a row is a direct endpoint that requests could be sent to.
 
-    An entry of another writer may name any service; without this it would
-    take the address of the endpoint that really stands there.
+    An entry of another writer may name any service; without this check it
+    would supersede the endpoint that really has the address.
     """
     if not row.direct or row.instance not in state.endpoints:
         return False
@@ -161,13 +164,15 @@
     return view is None or view.service(row.service) is not None
 
 
-def _gone(endpoint: _state.Endpoint) -> effects.Effect:
+def _removal_effect(endpoint: _state.Endpoint) -> effects.Effect:
+    """Return the effect of an endpoint's removal: a log line or a close."""
     if endpoint.instance.direct:
-        return _told('endpoint gone from the list', endpoint.instance)
+        return _endpoint_log('endpoint gone from the list', endpoint.instance)
     return effects.CloseLink(endpoint.instance.instance)
 
 
-def _told(text: str, row: events.Instance) -> effects.Log:
+def _endpoint_log(text: str, row: events.Instance) -> effects.Log:
+    """Return a log line about a listed endpoint."""
     return effects.Log(
         text,
         (
@@ -180,7 +185,7 @@
 
 
 def reported(state: _state.State, event: events.MessageReceived) -> Effects:
-    """Keep a sidecar's report of its endpoint: a hint for the next choice."""
+    """Store a sidecar's report of its endpoint, for routing."""
     endpoint = state.endpoints.get(event.peer)
     if endpoint is None:
         return []
@@ -193,10 +198,10 @@
 
 
 def link_refused(state: _state.State, event: events.LinkRefused) -> Effects:
-    """Wait before the link is tried again, the longer the more often.
+    """Schedule a retry of the link, with a growing back-off.
 
-    While answers are still owed to callers it stays at the first pause: they
-    are given up after ``resume_ms``.
+    While callers wait for answers from the endpoint the first pause is kept:
+    the answers are given up after ``resume_ms``.
     """
     endpoint = state.endpoints.get(event.peer)
     if endpoint is None:
@@ -209,7 +214,8 @@
     return []
 
 
-def _endpoint_listed(state: _state.State, row: events.Instance) -> Effects:
+def _update_endpoint(state: _state.State, row: events.Instance) -> Effects:
+    """Add an endpoint, or update one that is known, from its list entry."""
     endpoint = state.endpoints.get(row.instance)
     if endpoint is None:
         endpoint = _state.Endpoint(instance=row, leaving=row.leaving)
@@ -217,38 +223,40 @@
         _notices.recall(state, endpoint)
         state.placement.add(row.instance, row.service)
         if row.direct:
-            return [_told('endpoint listed', row)]
+            return [_endpoint_log('endpoint listed', row)]
     if endpoint.instance.address != row.address:
         endpoint.refusals = 0
         endpoint.retry_link_at_ms = 0
-    news = _news(endpoint, row)
+    logs = _leaving_logs(endpoint, row)
     endpoint.instance = row
     endpoint.listed = True
     endpoint.leaving = endpoint.leaving or row.leaving
     if row.direct:
-        return news
+        return logs
     if endpoint.moved and endpoint.link is _state.LinkPhase.OPEN:
-        _leave_old_address(endpoint)
+        _drain_old_address(endpoint)
     return []
 
 
-def _news(endpoint: _state.Endpoint, row: events.Instance) -> Effects:
-    """Say what a listing changes about a direct endpoint."""
+def _leaving_logs(endpoint: _state.Endpoint, row: events.Instance) -> Effects:
+    """Log that a direct endpoint is newly listed as leaving."""
     if not row.direct or not row.leaving or endpoint.leaving:
         return []
-    return [_told('endpoint is leaving', row)]
+    return [_endpoint_log('endpoint is leaving', row)]
 
 
-def _leave_old_address(endpoint: _state.Endpoint) -> None:
+def _drain_old_address(endpoint: _state.Endpoint) -> None:
     """Offer nothing more to the process at the old address.
 
-    Its link stays while answers come on it. Guards against a replacement
-    under the same name that cuts off what the old process still finishes.
+    Its link stays open while answers arrive on it. Otherwise a replacement
+    under the same name would cut off requests that the old process can still
+    finish.
     """
     endpoint.leaving = True
 
 
-def _may_open(endpoint: _state.Endpoint, at_ms: int) -> bool:
+def _is_link_due(endpoint: _state.Endpoint, at_ms: int) -> bool:
+    """Tell whether a link is closed and due to be opened."""
     if endpoint.instance.direct:
         return False
     closed = endpoint.link is _state.LinkPhase.CLOSED
@@ -256,27 +264,27 @@
 
 
 def _open_links(state: _state.State, due: list[str]) -> Effects:
-    """Open some of the links that are due, those that owe answers first."""
+    """Open links within the limit, those with attempts in flight first."""
     if not due:
         return []
-    due = _link_pacing.in_own_order(state, due)
+    due = _link_pacing.rotate(state, due)
     due.sort(key=lambda name: not state.endpoints[name].placed)
-    done: Effects = []
-    for name in due[: _link_pacing.room(state)]:
+    result: Effects = []
+    for name in due[: _link_pacing.opening_capacity(state)]:
         endpoint = state.endpoints[name]
         endpoint.link = _state.LinkPhase.OPENING
         endpoint.link_address = endpoint.instance.address
-        done.append(effects.OpenLink(name, endpoint.instance.address))
-    return done
+        result.append(effects.OpenLink(name, endpoint.instance.address))
+    return result
 
 
-def _say_farewell(
+def _close_if_drained(
     name: str, endpoint: _state.Endpoint
 ) -> list[effects.Effect]:
-    """Close the link to a leaving endpoint that owes us nothing more.
+    """Close the link to a leaving endpoint with no attempt in flight.
 
-    Its sidecar waits for this before it exits: after it, no offer of ours
-    can be under way.
+    Its sidecar waits for this before it exits: once the link is closed, no
+    offer from this gateway can be in flight.
     """
     if not endpoint.leaving or endpoint.placed:
         return []
@@ -285,7 +293,8 @@
     return [effects.CloseLink(name)]
 
 
-def _open_peers(state: _state.State) -> list[str]:
+def _linked_peers(state: _state.State) -> list[str]:
+    """Return the gateways and endpoints to which a link is open."""
     endpoints = [
         name
         for name, endpoint in state.endpoints.items()
--- a/berylhollow/gateway/_peers.py
+++ b/berylhollow/gateway/_peers.py
@@ -1,10 +1,10 @@
-"""Links between gateways: a few each, enough to spread what is new.
+"""Links between gateways: a few each, enough to spread news to all.
 
-A full mesh of gateways would be their number squared. Each gateway opens
-links to the next few on a ring ordered by a digest of the names; links are
-used both ways. The ring keeps the graph connected as long as no run of
-``peer_fanout`` neighbours fails at once, and the further ones, at doubling
-distances, make the number of hops logarithmic.
+The links of a full mesh would grow with the square of the gateways. Instead,
+each gateway opens links to ``peer_fanout`` others on a ring ordered by a
+digest of the names; links are used both ways. The ring keeps the graph
+connected as long as no run of ``peer_fanout`` neighbours fails at once. The
+distances on it double, which makes the number of hops logarithmic.
 """
 
 import hashlib
@@ -19,35 +19,35 @@
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Open the links that this gateway should have and has not."""
-    done: Effects = []
-    room = _link_pacing.room(state)
+    """Open missing links to the chosen peers, within the limit."""
+    result: Effects = []
+    allowed = _link_pacing.opening_capacity(state)
     for name in chosen(state):
-        if len(done) >= room:
+        if len(result) >= allowed:
             break
         if name in state.peer_links or name in state.peers_opening:
             continue
         if at_ms < state.peer_retry_at_ms.get(name, 0):
             continue
         state.peers_opening.add(name)
-        done.append(effects.OpenLink(name, state.peers[name].address))
-    return done
+        result.append(effects.OpenLink(name, state.peers[name].address))
+    return result
 
 
 def chosen(state: _state.State) -> list[str]:
-    """Return the peers to link to, at distances 1, 2, 4 and so on."""
-    ring = sorted([state.options.instance, *state.peers], key=_place)
+    """Return the peers at distances 1, 2, 4 and so on, and claim leaders."""
+    ring = sorted([state.options.instance, *state.peers], key=_ring_key)
     own = ring.index(state.options.instance)
     distances = [2**power for power in range(state.options.peer_fanout)]
     names = [ring[(own + step) % len(ring)] for step in distances]
-    names += _claim_leader.leaders(state)
+    names += _claim_leader.peer_leaders(state)
     return [
         name for name in dict.fromkeys(names) if name != state.options.instance
     ]
 
 
 def opened(state: _state.State, event: events.LinkOpened) -> Effects:
-    """A link to a peer is open, whoever opened it."""
+    """Handle an open link to a peer, whichever end opened it."""
     state.peers_opening.discard(event.peer)
     state.peer_refusals.pop(event.peer, None)
     state.peer_links[event.peer] = event.incarnation
@@ -55,7 +55,7 @@
 
 
 def refused(state: _state.State, event: events.LinkRefused) -> Effects:
-    """Wait before the peer is tried again, the longer the more often."""
+    """Schedule a retry of the link, with a growing back-off."""
     state.peers_opening.discard(event.peer)
     refusals = state.peer_refusals.get(event.peer, 0) + 1
     state.peer_refusals[event.peer] = refusals
@@ -65,7 +65,7 @@
 
 
 def closed(state: _state.State, event: events.LinkClosed) -> Effects:
-    """A link to a peer is gone; it is opened again after a moment."""
+    """Handle a closed link; it is reopened after the first pause."""
     pause_ms = _link_pacing.first_pause_ms(state, event.peer)
     state.peer_retry_at_ms[event.peer] = event.at_ms + pause_ms
     state.peers_opening.discard(event.peer)
@@ -74,5 +74,6 @@
     return state.follower.handle(event)
 
 
-def _place(name: str) -> bytes:
+def _ring_key(name: str) -> bytes:
+    """Return the key that orders the gateways on the ring."""
     return hashlib.blake2b(name.encode(), digest_size=8).digest()
--- a/berylhollow/gateway/_shutdown.py
+++ b/berylhollow/gateway/_shutdown.py
@@ -9,7 +9,7 @@
 
 
 def requested(state: _state.State, event: events.StopRequested) -> Effects:
-    """Take no new request; those in flight go on to their end."""
+    """Start to drain: new requests are refused, those in flight finish."""
     if not state.stopping:
         state.stopping = True
         state.stop_by_ms = event.at_ms + state.options.stop_grace_ms
@@ -19,13 +19,14 @@
 def tick(state: _state.State, at_ms: int) -> Effects:
     """Exit once nothing is in flight, or the grace period is over.
 
-    How claimed requests ended goes to the log first: without it a caller
-    that sends its key again would be told that the outcome is unknown.
+    The outcomes of claimed requests are appended to the log first. Otherwise
+    a caller that sends its key again would be told that the outcome is
+    unknown.
     """
     if not state.stopping or state.exited:
         return []
-    busy = bool(state.requests) or _settlement.unsettled(state)
-    if busy and at_ms < state.stop_by_ms:
+    has_work = bool(state.requests) or _settlement.unsettled(state)
+    if has_work and at_ms < state.stop_by_ms:
         return []
     state.exited = True
-    return [effects.Exit(1 if busy else 0)]
+    return [effects.Exit(1 if has_work else 0)]
--- a/berylhollow/gateway/_sidecars.py
+++ b/berylhollow/gateway/_sidecars.py
@@ -1,7 +1,7 @@
 """Links to the sidecars beside direct endpoints, and their reports.
 
-Without its sidecar an endpoint goes on serving what it holds, which the
-instance list tells with a lag; only loads wait for the sidecar.
+An endpoint without its sidecar goes on serving the adapters it holds, which
+are known from the instance list with a lag; only loads wait for the sidecar.
 """
 
 from berylhollow import clock
@@ -20,61 +20,65 @@
 Effects = list[effects.Effect]
 
 SILENT_MS = 2500
-"""Without a report for so long a link is given up: a sidecar reports every
-second at least. Connections go silent without a reset, and nothing is loaded
-for us over one that has."""
+"""A link without a report for this long is closed; a sidecar reports at
+least every second. A connection can go silent without a reset, and then no
+load can be ordered over it."""
 
 STALLED_MS = 500
-"""A tick that is later by so much found us stalled, not the sidecars silent:
-what they said meanwhile has not been read yet."""
+"""A tick this long after the last one means that this gateway stalled. The
+sidecars are not silent then: their reports have not been read yet."""
 
 
 def listed(state: _state.State) -> None:
-    """Take in which endpoints stand where; forget sidecars of none."""
-    beside = {}
+    """Map each sidecar to the endpoint beside it, from the instance list."""
+    endpoint_of_peer = {}
     for name, endpoint in state.endpoints.items():
         instance = endpoint.instance
         if instance.direct and _has_adapters(state, instance.service):
             peer = addresses.beside(instance.address)
-            beside[peer] = _newest(state, beside.get(peer), name)
-            _add(state, peer, instance)
-    for peer, name in beside.items():
+            endpoint_of_peer[peer] = _prefer_usable(
+                state, endpoint_of_peer.get(peer), name
+            )
+            _add_sidecar(state, peer, instance)
+    for peer, name in endpoint_of_peer.items():
         if state.beside.get(peer) != name:
-            # It waits to be told which endpoint it has to order.
+            # Resend the demand soon, for the endpoint that is there now.
             state.sidecars[peer].told_ms = clock.NEVER_MS
-    state.beside = beside
-    for peer, name in beside.items():
-        _apply(state, state.sidecars[peer], state.endpoints[name])
+    state.beside = endpoint_of_peer
+    for peer, name in endpoint_of_peer.items():
+        _apply_report(state, state.sidecars[peer], state.endpoints[name])
     _shared_reads.choose(state)
     _quotas.choose(state)
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Open links that are missing, close those that lead nowhere."""
-    done: Effects = []
+    """Open missing links; close those that are silent or without endpoint."""
+    result: Effects = []
     stalled = at_ms - state.ticked_ms >= STALLED_MS
     state.ticked_ms = at_ms
     for peer, sidecar in list(state.sidecars.items()):
         if peer not in state.beside:
             del state.sidecars[peer]
-            done.append(effects.CloseLink(peer))
+            result.append(effects.CloseLink(peer))
             continue
         if sidecar.link is _state.LinkPhase.OPEN and not stalled:
-            done += _silent(peer, sidecar, at_ms)
+            result += _close_if_silent(peer, sidecar, at_ms)
         if sidecar.link is not _state.LinkPhase.CLOSED:
             continue
         if at_ms >= sidecar.retry_at_ms:
             sidecar.link = _state.LinkPhase.OPENING
-            done.append(effects.OpenLink(peer, sidecar.address))
-    return done + _adapters.tick(state, at_ms)
+            result.append(effects.OpenLink(peer, sidecar.address))
+    return result + _adapters.tick(state, at_ms)
 
 
-def _silent(peer: str, sidecar: _state.Sidecar, at_ms: int) -> Effects:
-    """Close a link on which reports came and come no more."""
+def _close_if_silent(
+    peer: str, sidecar: _state.Sidecar, at_ms: int
+) -> Effects:
+    """Close a link whose reports have stopped."""
     silent_ms = at_ms - sidecar.heard_ms
     if sidecar.report is None or silent_ms < SILENT_MS:
         return []
-    # Closing takes a moment; it is not to be asked for at every tick of it.
+    # Closing takes time; this keeps the next ticks from asking for it again.
     sidecar.heard_ms = at_ms
     fields = (('peer', peer), ('silent_ms', silent_ms))
     return [
@@ -84,21 +88,21 @@
 
 
 def opened(state: _state.State, event: events.LinkOpened) -> Effects:
-    """A sidecar can be told what is needed."""
+    """Handle an open link: send the sidecar the demand for adapters."""
     sidecar = state.sidecars[event.peer]
     sidecar.link = _state.LinkPhase.OPEN
     sidecar.refusals = 0
-    done = [effects.Log('sidecar linked', (('peer', event.peer),))]
-    done += _adapters.tell(state, event.peer, event.at_ms)
+    result = [effects.Log('sidecar linked', (('peer', event.peer),))]
+    result += _adapters.tell(state, event.peer, event.at_ms)
     _shared_reads.choose(state)
     _quotas.choose(state)
-    return done
+    return result
 
 
 def closed(
     state: _state.State, event: events.LinkClosed | events.LinkRefused
 ) -> Effects:
-    """Go on by the instance list; try the link again after a pause."""
+    """Use the instance list instead; retry the link after a back-off."""
     sidecar = state.sidecars[event.peer]
     was_open = sidecar.link is _state.LinkPhase.OPEN
     sidecar.link = _state.LinkPhase.CLOSED
@@ -111,9 +115,9 @@
     sidecar.retry_at_ms = event.at_ms + pause_ms
     name = state.beside.get(event.peer)
     if name is not None:
-        # What others had waiting there grows old without its reports.
+        # Without reports, what other gateways have waiting there is outdated.
         state.endpoints[name].others_tokens = 0
-        _apply(state, sidecar, state.endpoints[name])
+        _apply_report(state, sidecar, state.endpoints[name])
     if not was_open:
         return []
     fields = (('peer', event.peer), ('retry_in_ms', pause_ms))
@@ -123,11 +127,12 @@
 def reported(
     state: _state.State, event: events.MessageReceived
 ) -> list[_state.ActiveRequest]:
-    """Keep a report; return the requests that may have waited for it."""
+    """Store a report; return the requests that wait for an adapter there."""
     sidecar = state.sidecars[event.peer]
     sidecar.report = event.message
     sidecar.heard_ms = event.at_ms
-    # One that has just started has links to few of them yet.
+    # A sidecar that just started has few links, so the highest count of all
+    # sidecars is used.
     reports = (each.report for each in state.sidecars.values())
     state.gateways = max(
         report.gateways for report in reports if report is not None
@@ -142,14 +147,14 @@
     endpoint.others_tokens = _backlog.others(
         event.message, sidecar.told_tokens
     )
-    _apply(state, sidecar, endpoint)
+    _apply_report(state, sidecar, endpoint)
     if before is None or before.model_load is not event.message.model_load:
-        _tell_all_soon(state, endpoint.instance.service)
+        _schedule_demand(state, endpoint.instance.service)
     return _adapters.waiting_at(state, name)
 
 
-def _tell_all_soon(state: _state.State, service: str) -> None:
-    """Tell the sidecars of a service at the next tick whose turn it is."""
+def _schedule_demand(state: _state.State, service: str) -> None:
+    """Make the demand due to be sent to the sidecars of a service."""
     for peer, name in state.beside.items():
         if state.endpoints[name].instance.service == service:
             state.sidecars[peer].told_ms = clock.NEVER_MS
@@ -160,33 +165,37 @@
     return view is not None and view.adapter_slots(service) > 0
 
 
-def _newest(state: _state.State, other: str | None, name: str) -> str:
-    """Of two endpoints listed at one address, take the one that stays."""
+def _prefer_usable(state: _state.State, other: str | None, name: str) -> str:
+    """Return the usable one of two endpoints at one address, or the later."""
     if other is None or not state.endpoints[other].usable:
         return name
     return name if state.endpoints[name].usable else other
 
 
-def _add(state: _state.State, peer: str, instance: events.Instance) -> None:
+def _add_sidecar(
+    state: _state.State, peer: str, instance: events.Instance
+) -> None:
+    """Add the sidecar at an endpoint's host unless it is known."""
     if peer not in state.sidecars:
         host = instance.address.rpartition(':')[0]
         address = f'{host}:{state.options.sidecar_port}'
         state.sidecars[peer] = _state.Sidecar(address)
 
 
-def _apply(
+def _apply_report(
     state: _state.State, sidecar: _state.Sidecar, endpoint: _state.Endpoint
 ) -> None:
-    """Take over what a sidecar says, or the list where it says nothing.
+    """Update an endpoint from its sidecar's report, else from the list.
 
-    A report of an endpoint with another name is of no use: the adapters are
-    another's. One of the same name and another start is newer than the list,
-    which still has the start before: what that one held is gone.
+    A report that names another endpoint is ignored, since its adapters are
+    not those of this one. A report of the same endpoint after a restart is
+    newer than the list, which still has the start before: the adapters held
+    then are gone.
     """
     name = endpoint.instance.instance
     report = sidecar.report
-    if report is None or not _is_about(report, endpoint.instance):
-        report = _listed_report(endpoint.instance)
+    if report is None or not _is_report_of(report, endpoint.instance):
+        report = _report_from_list(endpoint.instance)
     if report == endpoint.report:
         return
     endpoint.placed_at_report = len(endpoint.placed)
@@ -195,14 +204,15 @@
     _model_loads.note(state, name)
 
 
-def _is_about(report: messages.Report, instance: events.Instance) -> bool:
-    """Tell whether a report may be of what is listed, whenever it started."""
+def _is_report_of(report: messages.Report, instance: events.Instance) -> bool:
+    """Tell whether a report is about the listed endpoint, at any start."""
     if report.epoch in ('', instance.instance):
         return True
     return messages.Incarnation.is_start_of(report.epoch, instance.listed_name)
 
 
-def _listed_report(instance: events.Instance) -> messages.Report:
+def _report_from_list(instance: events.Instance) -> messages.Report:
+    """Return an entry of the instance list in the form of a report."""
     slots = tuple(
         messages.SlotReport(number, adapter, True, 0)
         for number, adapter in enumerate(instance.adapters)
@@ -224,7 +234,7 @@
 
 
 def forget(state: _state.State, name: str) -> None:
-    """An endpoint is gone: nothing waits for adapters there any more."""
+    """Forget an endpoint that is gone, and which requests wait there."""
     state.awaiting.pop(name, None)
     state.beside = {
         peer: other for peer, other in state.beside.items() if other != name
--- a/berylhollow/gateway/_surroundings.py
+++ b/berylhollow/gateway/_surroundings.py
@@ -1,4 +1,4 @@
-"""What a gateway's shell speaks to, and in which form."""
+"""The services and wire formats that a deployment gives a gateway."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PageListener:
-    """Where one page of the gateway is read on a listener of its own."""
+    """The address and path of a page that has its own listener."""
 
     host: str
     port: int
@@ -21,13 +21,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Surroundings:
-    """The adapters of one deployment.
+    """The services and wire formats of one deployment.
 
     ``shared_log`` is ``log`` where gateways share their reads of it.
-    ``endpoint_calls`` is None where every endpoint has its requests through
-    its sidecar. ``readiness`` and ``metrics`` are listeners of their own,
-    where callers' listener has no room for them. ``last_answers_ms`` is
-    how long final answers may take to be written once all is decided.
+    ``endpoint_calls`` is None where every endpoint gets its requests through
+    its sidecar. ``readiness`` and ``metrics`` are separate listeners, for
+    deployments whose callers' listener can't serve these pages.
+    ``last_answers_ms`` is how long the last answers of a stopping gateway
+    may take to be written.
     """
 
     log: shell.Log
@@ -42,6 +43,6 @@
 
 
 def own(settings: all_settings.GatewaySettings) -> Surroundings:
-    """Return the surroundings in the project's own form."""
+    """Return the project's own services and wire format."""
     log, instances = shell.own_service(settings.platform.url)
     return Surroundings(log, instances, _dialect.OwnDialect())
