--- a/berylhollow/claims/_ledger.py
+++ b/berylhollow/claims/_ledger.py
@@ -1,4 +1,4 @@
-"""The state of every key: a fold over a claims stream."""
+"""The state of every claimed key, built from a claims stream."""
 
 import collections
 import dataclasses
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Holding:
-    """The claim that holds a key; without an outcome it is unsettled."""
+    """The claim that holds a key, and its outcome once it is settled."""
 
     claim_id: str
     fingerprint: bytes
@@ -21,12 +21,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Ledger:
-    """Who holds which key, read from one partition's stream in order.
+    """Maps each key to the claim that holds it, for one partition.
 
-    Every process that reads the same records has the same ledger: time is
-    the log's own (``at_ms`` of the records). A key is held for
-    ``window_ms`` from its claim, which must be shorter than the log's
-    retention, so that a reader of all that is kept misses no claim in force.
+    Records are applied in order, and time is taken from them (``at_ms``), so
+    every process that reads the same records has the same ledger. A claim
+    holds its key for ``window_ms``. The window must be shorter than the log's
+    retention, so that no claim in force is missing from the log.
+
+    ``voided`` has the claims that ended as NOT_RUN, with the time; ``order``
+    has the granted claims as time, key and claim id, oldest first.
     """
 
     window_ms: int
@@ -38,10 +41,10 @@
     )
 
     def apply(self, entry: messages.LogEntry) -> list[_records.Entry]:
-        """Take the next record in; return its entries.
+        """Apply the next record; return its entries.
 
-        Records already read are passed over. A record that is no batch of
-        claims is passed over too: nobody could have won a key by it.
+        Records that were already applied are skipped. So are records that
+        are not a batch of claims, since no key can be won by them.
         """
         if entry.offset < self.next_offset:
             return []
@@ -53,16 +56,16 @@
             return []
         for item in entries:
             if isinstance(item, _records.Claim):
-                self._claim(item, entry.at_ms)
+                self._apply_claim(item, entry.at_ms)
             else:
-                self._settle(item, entry.at_ms)
+                self._apply_settled(item, entry.at_ms)
         return entries
 
-    def _claim(self, claim: _records.Claim, at_ms: int) -> None:
-        """Give a free key to its first claim in the log's order.
+    def _apply_claim(self, claim: _records.Claim, at_ms: int) -> None:
+        """Grant a free key to its first claim in the log's order.
 
-        Guards against two gateways that run the same key: both append, both
-        read the same order, so exactly one of them finds itself first.
+        Keeps two gateways from running the same key: both append a claim and
+        both read the same order, so exactly one of them is first.
         """
         if claim.claim_id in self.voided or claim.key in self.holdings:
             return
@@ -71,11 +74,12 @@
         )
         self.order.append((at_ms, claim.key, claim.claim_id))
 
-    def _settle(self, settled: _records.Settled, at_ms: int) -> None:
-        """Note how a claim ended; NOT_RUN frees the key for the next one.
+    def _apply_settled(self, settled: _records.Settled, at_ms: int) -> None:
+        """Record the outcome of a claim; NOT_RUN frees its key.
 
-        A claim whose append was late may come after its own NOT_RUN: its id
-        is remembered, or it would hold the key with nobody to settle it.
+        A claim whose append was delayed may come after its own NOT_RUN. Its
+        id is kept in ``voided``, or it would hold the key and never be
+        settled.
         """
         holding = self.holdings.get(settled.key)
         owns = holding is not None and holding.claim_id == settled.claim_id
@@ -89,14 +93,15 @@
             holding.answer = settled.answer
 
     def _expire(self, at_ms: int) -> None:
-        oldest = at_ms - self.window_ms
-        while self.order and self.order[0][0] < oldest:
+        """Drop the claims and voided ids that are older than the window."""
+        oldest_ms = at_ms - self.window_ms
+        while self.order and self.order[0][0] < oldest_ms:
             _, key, claim_id = self.order.popleft()
             holding = self.holdings.get(key)
             if holding is not None and holding.claim_id == claim_id:
                 del self.holdings[key]
         while self.voided:
             claim_id = next(iter(self.voided))
-            if self.voided[claim_id] >= oldest:
+            if self.voided[claim_id] >= oldest_ms:
                 break
             del self.voided[claim_id]
--- a/berylhollow/claims/_records.py
+++ b/berylhollow/claims/_records.py
@@ -1,4 +1,4 @@
-"""Records of a claims stream: one batch of entries a record, in CBOR."""
+"""The records of a claims stream; each is a batch of entries in CBOR."""
 
 import dataclasses
 import enum
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """A whole answer, kept for a caller that sends its key again."""
+    """A complete answer, stored for a caller that sends its key again."""
 
     status: int
     headers: tuple[messages.Header, ...]
@@ -37,10 +37,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """A request wants to be the only one with its key.
+    """A claim of a request on its key.
 
-    ``key`` is a digest of caller, service and key, ``fingerprint`` one of
-    the request. ``lifetime_ms`` is how long the request can be in flight.
+    ``key`` is a digest of the caller, the service and the key of the request;
+    ``fingerprint`` is a digest of the request. ``lifetime_ms`` is how long
+    the request can be in flight.
     """
 
     key: bytes
@@ -51,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settled:
-    """How the claim ended, with the answer if it is small enough."""
+    """The outcome of a claim, with the answer if it is small enough."""
 
     key: bytes
     claim_id: str
@@ -65,8 +66,8 @@
 def digest_key(caller: str, service: str, key: str) -> bytes:
     """Return the digest under which a caller's key is claimed.
 
-    The parts are length-prefixed, so that no two triples share a digest by
-    shifting characters from one part to the next.
+    The parts are length-prefixed, so that moving characters from one part to
+    the next changes the digest.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (caller, service, key):
@@ -77,7 +78,7 @@
 
 
 def partition_of(key: bytes, partitions: int) -> int:
-    """Return the partition that holds a key's claims."""
+    """Return the number of the partition that holds a key's claims."""
     return int.from_bytes(key[:4]) % partitions
 
 
@@ -88,17 +89,17 @@
 
 def encode(entries: list[Entry]) -> bytes:
     """Return a batch of entries as one record."""
-    return cbor2.dumps([_fields(entry) for entry in entries])
+    return cbor2.dumps([_to_fields(entry) for entry in entries])
 
 
 def decode(data: bytes) -> list[Entry]:
-    """Return the entries of a record; raise RecordError if it has none.
+    """Return the entries of a record; raise RecordError if it is malformed.
 
-    An entry with a tag that this version does not know is passed over.
+    Entries with a tag that this version does not know are skipped.
     """
     try:
         return [
-            _entry(fields)
+            _from_fields(fields)
             for fields in cbor2.loads(data)
             if fields[0] in (CLAIM_TAG, SETTLED_TAG)
         ]
@@ -106,7 +107,7 @@
         raise RecordError(str(e)) from e
 
 
-def _fields(entry: Entry) -> list:
+def _to_fields(entry: Entry) -> list:
     if isinstance(entry, Claim):
         return [
             CLAIM_TAG,
@@ -128,7 +129,7 @@
     ]
 
 
-def _entry(fields: list) -> Entry:
+def _from_fields(fields: list) -> Entry:
     if fields[0] == CLAIM_TAG:
         return Claim(*fields[1:5])
     _, key, claim_id, outcome, answer = fields[:5]
