--- a/berylhollow/quarantine/__init__.py
+++ b/berylhollow/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that crash endpoints: records on the log, and who is suspect."""
+"""Quarantine of requests that crash endpoints: log records and suspects."""
 
 from berylhollow.quarantine._records import Crash
 from berylhollow.quarantine._records import decode
--- a/berylhollow/quarantine/_records.py
+++ b/berylhollow/quarantine/_records.py
@@ -10,7 +10,7 @@
 
 
 class RecordError(ValueError):
-    """A record is not one of the quarantine stream's."""
+    """A record does not belong to the quarantine stream."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
     """An endpoint crashed while it ran the requests of these fingerprints.
 
     ``crash_id`` names the endpoint and the epoch that ended, so that a crash
-    that is told twice counts once.
+    that is reported twice counts once.
     """
 
     crash_id: str
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lift:
-    """An operator clears a fingerprint."""
+    """An operator lifted the quarantine of a fingerprint."""
 
     fingerprint: str
     operator: str
@@ -38,7 +38,7 @@
 
 
 def encode(record: Record) -> bytes:
-    """Return a record in the form that ``decode`` takes."""
+    """Return a record as the CBOR that ``decode`` reads."""
     if isinstance(record, Crash):
         fields = [CRASH_TAG, record.crash_id, record.service]
         return cbor2.dumps([*fields, list(record.fingerprints)])
@@ -46,7 +46,7 @@
 
 
 def decode(data: bytes) -> Record:
-    """Return the record; raise RecordError if it is none that we know."""
+    """Return the record; raise RecordError if it is malformed or unknown."""
     try:
         fields = cbor2.loads(data)
         if fields[0] == CRASH_TAG:
--- a/berylhollow/quarantine/_suspects.py
+++ b/berylhollow/quarantine/_suspects.py
@@ -1,4 +1,4 @@
-"""Who is suspect of crashing endpoints, and who is in quarantine."""
+"""Requests suspected of crashing endpoints, and those in quarantine."""
 
 import dataclasses
 
@@ -11,10 +11,11 @@
 class Rules:
     """When a suspect is quarantined; durations in milliseconds.
 
-    A request that ran alone at a crash is quarantined at its second crash,
-    since the first may have had another cause; one that ran beside others
-    after ``crashes`` of them. Suspicion is forgotten after ``suspect_ms``
-    without a crash.
+    A crash while the request ran alone quarantines it if it has
+    ``crashes_alone`` crashes by then: a single one may have had another
+    cause. A crash while it ran beside others quarantines it if it has
+    ``crashes``. A suspicion is forgotten after ``suspect_ms`` without a
+    crash. At most ``limit`` suspicions are kept.
     """
 
     crashes_alone: int = 2
@@ -26,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspicion:
-    """What is held against one fingerprint."""
+    """The crashes and quarantines of one fingerprint."""
 
     crash_ids: set[str]
     service: str
@@ -37,54 +38,55 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspects:
-    """Suspicions by fingerprint, a bounded number of them."""
+    """Suspicions by fingerprint; their number is bounded."""
 
     rules: Rules
     suspicions: dict[str, Suspicion] = dataclasses.field(default_factory=dict)
 
     def crashed(self, crash: _records.Crash, at_ms: int) -> list[str]:
-        """Count a crash; return the fingerprints it puts in quarantine."""
-        alone = len(crash.fingerprints) == 1
+        """Count a crash; return the fingerprints that it quarantines."""
+        ran_alone = len(crash.fingerprints) == 1
         quarantined = []
         for fingerprint in crash.fingerprints:
-            if self._count(fingerprint, crash, alone, at_ms):
+            if self._count_crash(fingerprint, crash, ran_alone, at_ms):
                 quarantined.append(fingerprint)
-        self._shrink()
+        self._enforce_limit()
         return quarantined
 
     def suspect(self, fingerprint: str, at_ms: int) -> bool:
-        """Tell whether the request must run with nothing beside it."""
+        """Tell whether the request is suspect and must run alone."""
         suspicion = self.suspicions.get(fingerprint)
         return suspicion is not None and at_ms < suspicion.forget_at_ms
 
     def quarantined_ms(self, fingerprint: str, at_ms: int) -> int:
-        """Return how long the request is still refused; 0 if it is not."""
+        """Return how long the request is still quarantined; 0 if it is not."""
         suspicion = self.suspicions.get(fingerprint)
         if suspicion is None:
             return 0
         return max(0, suspicion.until_ms - at_ms)
 
     def clear(self, fingerprint: str) -> None:
-        """Drop a suspicion: it ran well on its own, or was lifted."""
+        """Drop a suspicion, disproved by a run alone or lifted."""
         self.suspicions.pop(fingerprint, None)
 
     def forget(self, at_ms: int) -> None:
-        """Drop the suspicions that are too old to count."""
-        old = [
+        """Drop the suspicions that have expired."""
+        expired = [
             fingerprint
             for fingerprint, suspicion in self.suspicions.items()
             if at_ms >= suspicion.forget_at_ms
         ]
-        for fingerprint in old:
+        for fingerprint in expired:
             del self.suspicions[fingerprint]
 
-    def _count(
+    def _count_crash(
         self,
         fingerprint: str,
         crash: _records.Crash,
-        alone: bool,
+        ran_alone: bool,
         at_ms: int,
     ) -> bool:
+        """Count a crash of a fingerprint; tell whether it is quarantined."""
         suspicion = self.suspicions.get(fingerprint)
         if suspicion is None:
             suspicion = Suspicion(set(), crash.service, 0)
@@ -95,8 +97,10 @@
         suspicion.forget_at_ms = max(
             suspicion.forget_at_ms, at_ms + self.rules.suspect_ms
         )
-        needed = self.rules.crashes_alone if alone else self.rules.crashes
-        if len(suspicion.crash_ids) < needed:
+        threshold = (
+            self.rules.crashes_alone if ran_alone else self.rules.crashes
+        )
+        if len(suspicion.crash_ids) < threshold:
             return False
         doublings = min(suspicion.quarantines, MAX_DOUBLINGS)
         suspicion.quarantines += 1
@@ -104,6 +108,7 @@
         suspicion.forget_at_ms = suspicion.until_ms + self.rules.suspect_ms
         return True
 
-    def _shrink(self) -> None:
+    def _enforce_limit(self) -> None:
+        """Drop the suspicions that were added first, down to the limit."""
         while len(self.suspicions) > self.rules.limit:
             del self.suspicions[next(iter(self.suspicions))]
