--- a/berylhollow/gateway/_membership.py
+++ b/berylhollow/gateway/_membership.py
@@ -74,7 +74,7 @@
         # The configuration says which endpoints have a sidecar. If the list
         # was read before the configuration, links and loads would otherwise
         # wait for the next list, up to 0.7 s after every start.
-        _sidecars.listed(state)
+        _sidecars.update_endpoints(state)
         _quotas.declared(state, at_ms)
         result += _sidecars.tick(state, at_ms)
     state.served_revision = view.revision if view else 0
@@ -121,7 +121,7 @@
             # Callers wait for its answers, but it gets no new requests.
             endpoint.listed = False
     result += _mark_superseded(state, event.instances, event.at_ms)
-    _sidecars.listed(state)
+    _sidecars.update_endpoints(state)
     result += state.follower.handle(event)
     return result + tick(state, event.at_ms)
 
--- a/berylhollow/gateway/_shared_reads.py
+++ b/berylhollow/gateway/_shared_reads.py
@@ -14,13 +14,13 @@
 
 Effects = list[effects.Effect]
 
-RELAYS = 3
+RELAY_COUNT = 3
 """Sidecars to which a gateway sends what it reads. All gateways rank them
 alike and listen to the first that they have a link to, so the reader or a
 listener can lose two of them before a gateway has to read for itself."""
 
 
-def choose(state: _state.State) -> None:
+def choose_relays(state: _state.State) -> None:
     """Choose the relays among the sidecars that are linked now."""
     domain = state.options.failure_domain
     linked = [
@@ -30,7 +30,7 @@
         and state.endpoints[name].instance.failure_domain == domain
     ]
     old_relays = state.relays[:1]
-    state.relays = tuple(sorted(linked, key=rendezvous.digest)[:RELAYS])
+    state.relays = tuple(sorted(linked, key=rendezvous.digest)[:RELAY_COUNT])
     if state.relays[:1] == old_relays:
         return
     for peer in (*old_relays, *state.relays[:1]):
--- a/berylhollow/gateway/_sidecars.py
+++ b/berylhollow/gateway/_sidecars.py
@@ -19,17 +19,17 @@
 
 Effects = list[effects.Effect]
 
-SILENT_MS = 2500
+REPORT_TIMEOUT_MS = 2500
 """A link without a report for this long is closed; a sidecar reports at
 least every second. A connection can go silent without a reset, and then no
 load can be ordered over it."""
 
-STALLED_MS = 500
+STALL_THRESHOLD_MS = 500
 """A tick this long after the last one means that this gateway stalled. The
 sidecars are not silent then: their reports have not been read yet."""
 
 
-def listed(state: _state.State) -> None:
+def update_endpoints(state: _state.State) -> None:
     """Map each sidecar to the endpoint beside it, from the instance list."""
     endpoint_of_peer = {}
     for name, endpoint in state.endpoints.items():
@@ -47,14 +47,14 @@
     state.beside = endpoint_of_peer
     for peer, name in endpoint_of_peer.items():
         _apply_report(state, state.sidecars[peer], state.endpoints[name])
-    _shared_reads.choose(state)
+    _shared_reads.choose_relays(state)
     _quotas.choose(state)
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
     """Open missing links; close those that are silent or without endpoint."""
     result: Effects = []
-    stalled = at_ms - state.ticked_ms >= STALLED_MS
+    stalled = at_ms - state.ticked_ms >= STALL_THRESHOLD_MS
     state.ticked_ms = at_ms
     for peer, sidecar in list(state.sidecars.items()):
         if peer not in state.beside:
@@ -76,7 +76,7 @@
 ) -> Effects:
     """Close a link whose reports have stopped."""
     silent_ms = at_ms - sidecar.heard_ms
-    if sidecar.report is None or silent_ms < SILENT_MS:
+    if sidecar.report is None or silent_ms < REPORT_TIMEOUT_MS:
         return []
     # Closing takes time; this keeps the next ticks from asking for it again.
     sidecar.heard_ms = at_ms
@@ -94,7 +94,7 @@
     sidecar.refusals = 0
     result = [effects.Log('sidecar linked', (('peer', event.peer),))]
     result += _adapters.tell(state, event.peer, event.at_ms)
-    _shared_reads.choose(state)
+    _shared_reads.choose_relays(state)
     _quotas.choose(state)
     return result
 
@@ -106,7 +106,7 @@
     sidecar = state.sidecars[event.peer]
     was_open = sidecar.link is _state.LinkPhase.OPEN
     sidecar.link = _state.LinkPhase.CLOSED
-    _shared_reads.choose(state)
+    _shared_reads.choose_relays(state)
     _quotas.choose(state)
     sidecar.report = None
     sidecar.told_tokens = 0
