--- a/test/test_claim_leader.py
+++ b/test/test_claim_leader.py
@@ -18,7 +18,7 @@
 
 
 class LeaderTest(unittest.TestCase):
-    """Three gateways over one log; messages between them on demand."""
+    """Three gateways that share a log; some may be disconnected."""
 
     def setUp(self):
         self.log = log.LogModel()
@@ -28,7 +28,7 @@
         self.others = [name for name in NAMES if name != self.leader]
         self.offers = []
         self.answers = []
-        self.cut = set()
+        self.disconnected = set()
         self.requests = 0
 
     def start(self, name):
@@ -63,7 +63,7 @@
     def deliver(self, name, send, at_ms):
         if isinstance(send.message, messages.Offer):
             self.offers.append(name)
-        elif send.peer in NAMES and not {name, send.peer} & self.cut:
+        elif send.peer in NAMES and not {name, send.peer} & self.disconnected:
             received = events.MessageReceived(at_ms, name, send.message)
             self.feed(send.peer, received)
 
@@ -90,13 +90,13 @@
         self.assertEqual([errors.Kind.KEY_IN_PROGRESS], self.answers)
 
     def test_gateway_whose_leader_is_gone_appends_by_itself(self):
-        """Bookings are refused while one gateway is restarted.
+        """Guards against refusals while one gateway is restarted.
 
-        The leader dies with a forwarded claim; the others know nothing of
-        it. Cause: a role that only one process can have.
+        The leader dies with a forwarded claim that no other gateway has.
+        The sender must append the claim itself.
         """
         sender = self.others[0]
-        self.cut = {self.leader}
+        self.disconnected = {self.leader}
         self.send(sender)
         self.feed(sender, events.LinkClosed(10, self.leader))
         self.tick(100, self.others)
@@ -104,15 +104,14 @@
         self.assertEqual([sender], self.offers)
 
     def test_two_leaders_at_once_let_a_key_run_once(self):
-        """A booking is made twice while gateways come and go.
+        """Guards against a request that runs twice when the leader changes.
 
-        The sender's view of the leader changes with its claim under way, so
-        both it and the old leader append the claim. Cause: a verdict taken
-        from who leads instead of from the log.
+        The sender loses its leader with a claim in flight, so both append
+        the claim. The verdict must come from the log, not from the leader.
         """
         first, second = self.others
         self.send(first)
-        self.cut = {first}
+        self.disconnected = {first}
         self.tick(50, [self.leader])
         self.feed(first, events.LinkClosed(60, self.leader))
         self.send(second, at_ms=60)
--- a/test/test_claims.py
+++ b/test/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of claims: a key runs at most once, whatever becomes of the log."""
+"""Tests of claims: a key runs at most once, also when the log fails."""
 
 from berylhollow import claims
 from berylhollow import effects
@@ -15,7 +15,7 @@
 
 
 class ClaimTestCase(helper.ReducerTestCase):
-    """One log, and gateways that come and go."""
+    """One log, and gateways that are started on it one after the other."""
 
     def setUp(self):
         self.log = log.LogModel()
@@ -66,10 +66,11 @@
         self.assertEqual(1, len(self.offers()))
 
     def test_two_gateways_race_for_a_key(self):
-        """A customer's number is ported twice.
+        """Guards against a request that runs twice.
 
-        The caller sends the same key through two gateways at once; both
-        append before either reads. Cause: a check before the append.
+        The caller sends the same key through two gateways at once, and both
+        append before either reads. A check made before the append would let
+        both run.
         """
         first = self.start_gateway('g1', 'i1')
         self.send(settle=False)
@@ -84,10 +85,10 @@
         self.assertIs(errors.Kind.KEY_IN_PROGRESS, self.answer().kind)
 
     def test_lost_answer_of_an_append_is_settled_by_reading(self):
-        """A booking is refused though its claim is on the log.
+        """Guards against refusing a request whose claim is on the log.
 
-        The append takes effect and its answer is lost. Cause: a lost
-        answer taken for a failed append.
+        The append takes effect but its answer is lost, which must not be
+        treated as a failed append.
         """
         self.start_gateway()
         self.send(settle=False)
@@ -96,7 +97,7 @@
         self.answer_log(self.log)
         self.assertEqual(1, len(self.offers()))
 
-    def test_outage_is_a_true_not_run(self):
+    def test_log_outage_is_answered_not_run(self):
         self.start_gateway()
         self.log.faults.start(faults.PlatformFault.LOG_DOWN, 0)
         self.send()
@@ -105,11 +106,11 @@
         self.assertIs(errors.Ran.NOT_RUN, self.answer().ran)
 
     def test_late_claim_of_a_refused_request_does_not_hold_the_key(self):
-        """A booking can't be made for hours after a short outage.
+        """Guards against a key that is blocked for hours after an outage.
 
-        The append's answer is lost and the gateway refuses; the record
-        arrives after the entry that says so. Cause: a claim whose owner
-        has already given up holds the key.
+        The append's answer is lost and the gateway refuses the request; the
+        claim arrives on the log after its NOT_RUN entry. It must not hold
+        the key, since its gateway has already given it up.
         """
         self.start_gateway()
         self.send(settle=False)
@@ -139,7 +140,7 @@
         self.assertEqual(b'booked', stored.body)
         self.assertEqual([], self.offers())
 
-    def test_answer_that_is_not_kept_is_told(self):
+    def test_resend_without_a_stored_answer_gets_already_ran(self):
         self.start_gateway()
         self.send()
         self.finish(body=None)
@@ -147,11 +148,11 @@
         self.assertIs(errors.Kind.ALREADY_RAN, self.answer().kind)
 
     def test_unsettled_key_of_a_gateway_that_died(self):
-        """A resend books a second excavator after everything was replaced.
+        """Guards against a second run after every process was replaced.
 
-        The gateway dies with the booking in flight; every process is
-        replaced; an hour later the caller sends the key again. Cause: the
-        memory of a key kept in a process.
+        The gateway dies with the request in flight, every process is
+        replaced, and an hour later the caller sends the key again. The key's
+        state must be on the log, not in a process.
         """
         self.start_gateway()
         self.send()
@@ -182,7 +183,7 @@
         self.send(fingerprint='other', at_ms=100)
         self.assertIs(errors.Kind.KEY_REUSED, self.answer().kind)
 
-    def test_caller_that_hangs_up_can_learn_how_it_ended(self):
+    def test_caller_that_disconnects_gets_the_answer_on_resend(self):
         self.start_gateway()
         self.send()
         offers = self.effects
@@ -207,13 +208,13 @@
         self.answer_log(self.log, 3 * HOUR_MS + 600)
         self.assertEqual(1, len(self.offers()))
 
-    def test_garbage_on_the_stream_is_passed_over(self):
+    def test_garbage_on_the_stream_is_skipped(self):
         self.log.append('claims-0', b'\xff\x00garbage', 0)
         self.start_gateway()
         self.send()
         self.assertEqual(1, len(self.offers()))
 
-    def test_entries_survive_the_wire(self):
+    def test_entries_are_equal_after_encoding_and_decoding(self):
         key = claims.digest_key('caller', 'service', 'key')
         answer = claims.StoredAnswer(
             201, (messages.Header('a', 'b'),), b'body'
--- a/test/test_gateway_coordinator.py
+++ b/test/test_gateway_coordinator.py
@@ -1,4 +1,4 @@
-"""The gateway as coordinator of loads: permits under the store's limits."""
+"""Tests of the load coordinator: permits within the store's limits."""
 
 from berylhollow import events
 from berylhollow import gateway
@@ -7,7 +7,7 @@
 from test import helper
 
 
-def wish(instance='e1', name='a1', value=1.0):
+def load_wanted(instance='e1', name='a1', value=1.0):
     return messages.LoadWanted(
         instance,
         builders.SERVICE,
@@ -24,21 +24,21 @@
         self.begin(gateway.reduce, builders.gateway_state())
 
     def want(self, instance, at_ms=0, value=1.0):
-        self.receive(wish(instance, value=value), at_ms, instance)
+        self.receive(load_wanted(instance, value=value), at_ms, instance)
 
     def end(self, instance, permit, at_ms, loaded=True):
         ended = messages.LoadEnded(instance, permit, loaded)
         self.receive(ended, at_ms, instance)
 
     def granted(self):
-        """Return who got a permit from the last events."""
+        """Return the peers that got a permit from the last events."""
         return [
             item.peer
             for item in self.effects
             if isinstance(getattr(item, 'message', None), messages.LoadGranted)
         ]
 
-    def test_one_at_a_time_and_the_most_valuable_next(self):
+    def test_loads_run_one_at_a_time_most_valuable_first(self):
         self.want('e1')
         self.assertEqual(['e1'], self.granted())
         self.want('e2', 10, value=1.0)
@@ -48,7 +48,7 @@
         self.end('e1', 1, 400)
         self.assertEqual(['e3'], self.granted())
 
-    def test_no_more_than_the_rate_allows(self):
+    def test_grants_do_not_exceed_the_rate(self):
         for number, at_ms in enumerate((0, 10, 20)):
             self.want(f'e{number}', at_ms)
             for permit in list(self.state.load_book.permits):
@@ -60,10 +60,10 @@
         self.assertEqual(['e2'], self.granted())
 
     def test_permit_of_a_dead_sidecar_lapses(self):
-        """All loads stand still because one sidecar died.
+        """Guards against loads that all block because one sidecar died.
 
-        It gets a permit, then dies without giving it back. Cause: a permit
-        that never ends.
+        The sidecar dies without giving its permit back, so permits must
+        lapse.
         """
         self.want('e1')
         self.want('e2', 10)
@@ -75,7 +75,7 @@
         self.feed(events.Ticked(3000))
         self.assertEqual(['e2'], self.granted())
 
-    def test_wish_that_is_not_repeated_is_forgotten(self):
+    def test_load_request_that_is_not_repeated_is_forgotten(self):
         self.want('e1')
         self.want('e2', 10)
         self.feed(events.Ticked(1600))
--- a/test/test_gateway_link_pacing.py
+++ b/test/test_gateway_link_pacing.py
@@ -1,4 +1,4 @@
-"""Tests of when a gateway tries its links: pauses, bounds, addresses."""
+"""Tests of when a gateway opens its links: back-off, limit, addresses."""
 
 from berylhollow import effects
 from berylhollow import events
@@ -9,69 +9,71 @@
 
 ENDPOINT = events.Role.ENDPOINT
 GATEWAY = events.Role.GATEWAY
-LISTED_ONLY = {'instance_poll_ms': 1_000_000}
+NO_POLLING = {'instance_poll_ms': 1_000_000}
 
 
 class LinkTestCase(helper.ReducerTestCase):
     def start(self, name='g1', count=1, **options):
-        state = builders.gateway_state(name, **(LISTED_ONLY | options))
+        state = builders.gateway_state(name, **(NO_POLLING | options))
         self.begin(gateway.reduce, state)
         self.rows = [builders.instance(f'e{x}') for x in range(count)]
         return self.list()
 
     def list(self, at_ms=0):
         self.feed(events.InstancesListed(at_ms, tuple(self.rows)))
-        return self.asked()
+        return self.opened_peers()
 
-    def asked(self):
+    def opened_peers(self):
         return [effect.peer for effect in self.of_type(effects.OpenLink)]
 
     def tick(self, at_ms, seed=0.5):
         self.feed(events.Ticked(at_ms, seed))
-        return self.asked()
+        return self.opened_peers()
 
 
 class LinkPacingTest(LinkTestCase):
     def refusals(self, until_ms, seed=0.5):
-        """Refuse every link until then; return when they were asked for."""
+        """Refuse every link until ``until_ms``; return when each was tried."""
         self.feed(events.LinkRefused(0, 'e0'))
-        moments = []
+        tried_at_ms = []
         for at_ms in range(0, until_ms, 100):
             if self.tick(at_ms, seed):
-                moments.append(at_ms)
+                tried_at_ms.append(at_ms)
                 self.feed(events.LinkRefused(at_ms, 'e0'))
-        return moments
+        return tried_at_ms
 
-    def test_a_refused_link_is_tried_ever_more_seldom(self):
-        """A rack is away and every gateway asks it twice a second."""
+    def test_retries_of_a_refused_link_back_off(self):
+        """Guards against retries twice a second while a rack is down."""
         self.start()
-        moments = self.refusals(60_000)
-        self.assertLess(len(moments), 15)
-        gaps = [b - a for a, b in zip(moments, moments[1:], strict=False)]
+        tried_at_ms = self.refusals(60_000)
+        self.assertLess(len(tried_at_ms), 15)
+        gaps = [
+            b - a for a, b in zip(tried_at_ms, tried_at_ms[1:], strict=False)
+        ]
         self.assertLessEqual(max(gaps), 12_100)
 
-    def test_gateways_don_t_try_at_the_same_moments(self):
-        """A rack comes back and all gateways are there in one moment."""
+    def test_retries_differ_between_gateways(self):
+        """Guards against all gateways linking at once to a rack that is up."""
         found = set()
         for number in range(10):
             self.start(f'g{number}')
             found.update(self.refusals(5000, seed=number / 10)[2:3])
         self.assertGreater(len(found), 3)
 
-    def test_a_link_with_answers_under_way_is_tried_at_the_first_pause(self):
-        """A sidecar is away for two seconds and its answers are given up."""
+    def test_a_link_with_answers_in_flight_keeps_the_first_pause(self):
+        """Guards against giving up answers when a link is down for 2 s."""
         self.start()
         self.open_link('e0', ENDPOINT)
         self.feed(events.RequestArrived(0, builders.request()))
         self.feed(events.LinkClosed(0, 'e0'))
-        moments = self.refusals(2900)
-        self.assertGreater(len(moments), 4)
-
-    def test_only_so_many_links_are_opened_at_a_time(self):
-        """A region heals and its gateways are busy with handshakes alone."""
-        asked = self.start(count=100, links_opening=10)
-        self.assertEqual(10, len(asked))
-        self.open_link(asked[0], ENDPOINT)
+        tried_at_ms = self.refusals(2900)
+        self.assertGreater(len(tried_at_ms), 4)
+
+    def test_links_opening_at_once_are_limited(self):
+        """Guards against a burst of handshakes when a region comes back."""
+        opened = self.start(count=100, links_opening=10)
+        self.assertEqual(10, len(opened))
+        self.open_link(opened[0], ENDPOINT)
         self.assertEqual(1, len(self.tick(100)))
 
     def test_gateways_begin_with_different_links(self):
@@ -82,7 +84,7 @@
             found.update(self.tick(0, seed))
         self.assertEqual(15, len(found))
 
-    def test_refused_peers_are_tried_ever_more_seldom(self):
+    def test_retries_of_refused_peers_back_off(self):
         self.start(count=0)
         self.rows = [builders.instance('g2', GATEWAY)]
         self.list()
@@ -94,23 +96,23 @@
         self.assertLess(tries, 16)
         self.assertGreater(tries, 4)
 
-    def test_a_drained_endpoint_is_looked_at_ever_more_seldom(self):
-        """A sidecar that drains for minutes is asked for links all the time.
+    def test_links_to_a_draining_endpoint_back_off(self):
+        """Guards against constant new links to a sidecar that drains.
 
-        Each gateway closes its link, looks again half a second later, and
-        is told the same.
+        A sidecar may drain for minutes. Without a back-off, each gateway
+        closes its link and opens it again half a second later.
         """
         self.start()
-        looks = 0
+        links_opened = 0
         for at_ms in range(0, 60_000, 100):
             self.state.endpoints['e0'].leaving = True
             if self.tick(at_ms):
-                looks += 1
+                links_opened += 1
                 self.open_link('e0', ENDPOINT, at_ms)
                 self.state.endpoints['e0'].leaving = True
                 self.tick(at_ms)
                 self.feed(events.LinkClosed(at_ms, 'e0'))
-        self.assertLess(looks, 16)
+        self.assertLess(links_opened, 16)
 
 
 class AddressTest(LinkTestCase):
@@ -118,12 +120,12 @@
         self.rows = [builders.instance('e0', address='127.0.0.1:moved')]
         self.list(at_ms=10)
 
-    def test_a_moved_endpoint_finishes_what_it_has(self):
-        """A caller's answer breaks off when its endpoint is replaced.
+    def test_a_moved_endpoint_finishes_requests_in_flight(self):
+        """Guards against an answer cut off when its endpoint is replaced.
 
         The instance list shows the endpoint under a new address while the
-        process at the old one still streams an answer. Cause: the link is
-        closed at once.
+        process at the old one still streams an answer. The link must stay
+        open until the answer ends.
         """
         self.start()
         self.open_link('e0', ENDPOINT)
@@ -144,7 +146,7 @@
         self.tick(100)
         self.assertEqual(1, len(self.of_type(effects.CloseLink)))
 
-    def test_a_moved_endpoint_gets_nothing_new_at_its_old_address(self):
+    def test_a_moved_endpoint_gets_no_offer_at_its_old_address(self):
         self.start()
         self.open_link('e0', ENDPOINT)
         self.move()
@@ -162,7 +164,7 @@
         self.open_link('e0', ENDPOINT, 110, 'i2')
         self.assertTrue(self.state.endpoints['e0'].usable)
 
-    def test_a_link_under_way_to_the_old_address_takes_no_work(self):
+    def test_a_link_opening_to_the_old_address_gets_no_work(self):
         self.start()
         self.move()
         self.open_link('e0', ENDPOINT)
--- a/test/test_gateway_links.py
+++ b/test/test_gateway_links.py
@@ -9,7 +9,7 @@
 
 
 class Gateway:
-    """The links of one gateway, and what they reported."""
+    """The links of one gateway, with the events and messages they fed."""
 
     def __init__(self, name, incarnation='i1'):
         self.name = name
@@ -36,8 +36,8 @@
         return [event for event in self.events if type(event) is event_type]
 
     @property
-    def balance(self):
-        """How many links are open by what was reported."""
+    def open_count(self):
+        """How many links are open according to the events."""
         opened = len(self.reports(events.LinkOpened))
         return opened - len(self.reports(events.LinkClosed))
 
@@ -50,39 +50,41 @@
         return gateway
 
     async def exchange(self, one, other):
-        """Send both ways and wait until both have come."""
+        """Send a message each way and wait until both have arrived."""
         for sender, receiver in ((one, other), (other, one)):
             message = messages.Cancel(sender.name)
             sender.links.send(receiver.name, message)
-            wanted = (sender.name, message)
-            await self.until(lambda r=receiver, w=wanted: w in r.received)
+            expected = (sender.name, message)
+            await self.until(lambda r=receiver, w=expected: w in r.received)
 
     async def test_links_opened_from_both_ends_become_one(self):
-        """Two gateways never hear of each other's configuration.
+        """Guards against two gateways that never keep a link.
 
-        Both open a link at the same moment and each closes the one that the
-        other keeps, again and again. Cause: both keep the newer one, and
-        each sees another one as newer.
+        Both open a link at the same moment. If each kept the newer one, each
+        could see a different link as newer and close the one that the other
+        keeps, again and again.
         """
         for _ in range(10):
             one, other = await self.add('g1'), await self.add('g2')
             one.open(other)
             other.open(one)
-            await self.until(lambda a=one, b=other: a.balance and b.balance)
+            await self.until(
+                lambda a=one, b=other: a.open_count and b.open_count
+            )
             await self.until(lambda a=one, b=other: not b.links.clients)
             await self.exchange(one, other)
-            self.assertEqual((1, 1), (one.balance, other.balance))
+            self.assertEqual((1, 1), (one.open_count, other.open_count))
             self.assertEqual('g1', one.links.open_links['g2'].opener)
             self.assertEqual('g1', other.links.open_links['g1'].opener)
 
-    async def test_restarted_gateway_takes_the_place_of_its_old_link(self):
+    async def test_link_of_a_restarted_gateway_replaces_the_old_one(self):
         other = await self.add('g2')
         for incarnation in ('i1', 'i2'):
             one = await self.add('g1', incarnation)
             one.open(other)
-            await self.until(lambda g=one: g.balance == 1)
+            await self.until(lambda g=one: g.open_count == 1)
             await self.exchange(one, other)
-        self.assertEqual(1, other.balance)
+        self.assertEqual(1, other.open_count)
         opened = other.reports(events.LinkOpened)
         self.assertEqual(['i1', 'i2'], [each.incarnation for each in opened])
 
--- a/test/test_gateway_peers.py
+++ b/test/test_gateway_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the links between gateways."""
+"""Tests of the choice of peers to link to, and of retries."""
 
 import collections
 import math
--- a/test/test_gateway_stop.py
+++ b/test/test_gateway_stop.py
@@ -1,4 +1,4 @@
-"""Tests of a gateway's stop, and of its bounds on what callers hold."""
+"""Tests of a gateway's stop, and of its limits on callers."""
 
 import asyncio
 
@@ -22,11 +22,11 @@
         return headers
 
     async def test_stop_cuts_off_no_request(self):
-        """Callers see errors each time that a gateway is replaced.
+        """Guards against errors whenever a gateway is replaced.
 
-        The gateway is told to stop; the balancer sends on to it until the
-        next look at /readyz. Cause: a listener that closes, or a request
-        that is refused, before the balancer can know.
+        The balancer sends requests to a stopping gateway until it next
+        checks /readyz. Before that the gateway must not close its listener
+        or refuse a request.
         """
         first = self.post()
         attempt_id = await self.sidecar.offered()
@@ -53,11 +53,11 @@
 
 
 class DefectTest(gateway_helper.GatewayTestCase):
-    async def test_callers_are_told_when_the_reducer_fails(self):
-        """Callers wait for answers that nobody will give.
+    async def test_callers_get_an_error_when_the_reducer_fails(self):
+        """Guards against callers that wait for answers which never come.
 
-        A defect stops the reducer of one gateway. Cause: a shell that only
-        ends, without a word to the callers that it holds.
+        When a defect stops the reducer, the shell must answer the callers
+        of all requests in flight before it ends.
         """
         await self.begin()
         await self.add_sidecar()
@@ -72,7 +72,7 @@
 
 
 class BoundsTest(gateway_helper.GatewayTestCase):
-    async def test_connection_too_many_is_told_so(self):
+    async def test_connection_over_the_limit_is_refused(self):
         await self.begin(listen={'port': 0, 'connections': 1})
         request = b'GET /healthz HTTP/1.1\r\nHost: g\r\n\r\n'
         reader, writer = await self.raw(request)
@@ -84,10 +84,11 @@
         writer.write(request)
         self.assertIn(b' 200 ', await reader.readline())
 
-    async def test_bodies_held_at_once_are_bounded(self):
-        """A gateway runs out of memory when many large bodies come at once.
+    async def test_bodies_in_flight_are_limited(self):
+        """Guards against running out of memory on many large bodies at once.
 
-        Each is within the limit of one. Cause: no bound on all together.
+        Each body is within the limit for one, so their sum needs a limit
+        too.
         """
         await self.begin(limits={'body_bytes_in_flight': 1500})
         await self.add_sidecar()
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -14,7 +14,7 @@
 
 GATEWAY = events.Role.GATEWAY
 ENDPOINT = events.Role.ENDPOINT
-CULPRIT = 'print-of-r1'
+FINGERPRINT = 'print-of-r1'
 
 
 def crash(crash_id, *fingerprints):
@@ -38,33 +38,33 @@
         kind, ran = errors.Kind.ENDPOINT_FAILED, errors.Ran.UNKNOWN
         self.feed(events.RunFailed(at_ms, attempt_id, kind, ran, True))
 
-    def test_suspects_are_told_before_their_attempts_are_lost(self):
-        """A request crashes one engine after the other.
+    def test_suspects_are_sent_before_their_attempts_fail(self):
+        """Guards against a request that crashes one engine after another.
 
-        Its engine crashes, the gateway hears that the attempt is lost and
-        tries it at the next engine beside others. Cause: the suspicion
-        comes after the retry.
+        If the gateway hears of the failed attempt before it hears of the
+        suspicion, it retries the request at the next engine beside others.
         """
         self.run_two()
         self.break_run('r1.1')
         kinds = [type(item.message) for item in self.of_type(effects.Send)]
         self.assertEqual([messages.Crashed, messages.Failed], kinds)
-        (told,) = self.sent(messages.Crashed)
+        (crashed,) = self.sent(messages.Crashed)
         self.assertEqual(
-            {'print-of-r1.1', 'print-of-r2.1'}, set(told.fingerprints)
+            {'print-of-r1.1', 'print-of-r2.1'}, set(crashed.fingerprints)
         )
 
-    def test_crash_is_told_once_an_epoch(self):
+    def test_crash_is_reported_once_per_epoch(self):
         self.run_two()
         self.break_run('r1.1')
         self.break_run('r2.1')
         self.assertEqual([], self.sent(messages.Crashed))
 
-    def test_crash_after_a_lone_broken_connection_is_told(self):
-        """A request crashes one engine more than it may.
+    def test_crash_after_a_single_broken_connection_is_reported(self):
+        """Guards against a real crash that is not reported.
 
-        The engine drops one connection and lives on, which looks like a
-        crash; then it does crash. Cause: a crash told once an epoch.
+        The engine drops one connection and keeps running, which looks like
+        a crash; then it does crash. If only one crash an epoch were reported,
+        the request could crash one engine more than allowed.
         """
         self.run_two()
         self.break_run('r1.1')
@@ -72,12 +72,12 @@
         self.break_run('r2.1', 9)
         self.assertEqual(1, len(self.sent(messages.Crashed)))
 
-    def test_crash_seen_only_by_the_new_epoch_is_told(self):
+    def test_crash_seen_only_by_the_new_epoch_is_reported(self):
         self.run_two()
         self.feed(builders.engine_status('epoch-2', at_ms=9))
         self.assertEqual(1, len(self.sent(messages.Crashed)))
 
-    def test_suspect_runs_with_nothing_beside_it(self):
+    def test_suspect_runs_alone(self):
         self.run_two()
         self.receive(builders.offer('r3.1', isolate=True), peer='g1')
         self.assertEqual([], self.of_type(effects.StartRun))
@@ -100,7 +100,7 @@
             self.open_link(name, ENDPOINT)
 
     def send(self, request_id='r1', at_ms=0, **changes):
-        values = {'fingerprint': CULPRIT} | changes
+        values = {'fingerprint': FINGERPRINT} | changes
         request = builders.request(request_id, **values)
         return self.feed(events.RequestArrived(at_ms, request))
 
@@ -108,25 +108,25 @@
         return [item.kind for item in self.of_type(effects.AnswerError)]
 
     def test_request_alone_at_one_crash_is_not_refused(self):
-        """A caller is refused for good after an engine was restarted.
+        """Guards against refusing a request that only happened to run alone.
 
-        Its request happened to be the only one on the engine. Cause: one
-        crash alone taken for proof.
+        The engine was restarted while it ran no other request, so a single
+        crash is no proof.
         """
-        self.receive(crash('c1', CULPRIT))
+        self.receive(crash('c1', FINGERPRINT))
         self.send()
         (offer,) = self.sent(messages.Offer)
         self.assertTrue(offer.isolate)
 
     def test_resend_of_a_suspect_is_isolated(self):
-        self.receive(crash('c1', CULPRIT, 'innocent'))
+        self.receive(crash('c1', FINGERPRINT, 'innocent'))
         self.send()
         (offer,) = self.sent(messages.Offer)
         self.assertTrue(offer.isolate)
 
     def test_suspect_that_crashes_alone_is_refused_until_it_expires(self):
-        self.receive(crash('c1', CULPRIT, 'innocent'))
-        self.receive(crash('c2', CULPRIT))
+        self.receive(crash('c1', FINGERPRINT, 'innocent'))
+        self.receive(crash('c2', FINGERPRINT))
         self.send()
         self.assertEqual([errors.Kind.QUARANTINED], self.kinds())
         (answer,) = self.of_type(effects.AnswerError)
@@ -134,16 +134,16 @@
         self.send('r2', at_ms=answer.retry_after_ms)
         self.assertEqual(1, len(self.sent(messages.Offer)))
 
-    def test_own_retry_does_not_walk_a_culprit_through_the_fleet(self):
-        """Three engines restart one after the other.
+    def test_retry_is_refused_once_the_request_is_quarantined(self):
+        """Guards against a request that crashes three engines in a row.
 
-        The request crashes its second engine, alone; the gateway's own retry
-        takes it to the next. Cause: a retry that doesn't ask who is suspect.
+        The request crashes its second engine, alone. The gateway's own retry
+        must check the quarantine before it offers the request to a third.
         """
-        self.receive(crash('c0', CULPRIT, 'innocent'))
+        self.receive(crash('c0', FINGERPRINT, 'innocent'))
         self.send()
         (send,) = self.of_type(effects.Send)
-        self.receive(crash('c1', CULPRIT), peer=send.peer)
+        self.receive(crash('c1', FINGERPRINT), peer=send.peer)
         lost = messages.Failed(
             send.message.attempt_id,
             errors.Kind.ENGINE_RESTARTED,
@@ -154,7 +154,7 @@
         self.assertEqual([errors.Kind.QUARANTINED], self.kinds())
 
     def test_suspect_that_ran_well_alone_is_cleared(self):
-        self.receive(crash('c1', CULPRIT, 'other'))
+        self.receive(crash('c1', FINGERPRINT, 'other'))
         self.send()
         (offer,) = self.sent(messages.Offer)
         self.feed(events.AnswerRelayed(1, 'r1', offer.attempt_id, 200))
@@ -162,18 +162,18 @@
         (offer,) = self.sent(messages.Offer)
         self.assertFalse(offer.isolate)
 
-    def test_crash_is_passed_on_once(self):
+    def test_crash_is_forwarded_once(self):
         self.open_link('g2', GATEWAY)
-        self.receive(crash('c1', CULPRIT))
+        self.receive(crash('c1', FINGERPRINT))
         self.assertEqual(1, len(self.sent(messages.Crashed)))
-        self.receive(crash('c1', CULPRIT), peer='g2')
+        self.receive(crash('c1', FINGERPRINT), peer='g2')
         self.assertEqual([], self.sent(messages.Crashed))
 
     def test_new_gateway_learns_from_the_log_and_a_lift_clears(self):
         records = [
-            quarantine.Crash('c1', builders.SERVICE, (CULPRIT,)),
-            quarantine.Crash('c2', builders.SERVICE, (CULPRIT,)),
-            quarantine.Lift(CULPRIT, 'operator-1'),
+            quarantine.Crash('c1', builders.SERVICE, (FINGERPRINT,)),
+            quarantine.Crash('c2', builders.SERVICE, (FINGERPRINT,)),
+            quarantine.Lift(FINGERPRINT, 'operator-1'),
         ]
         *crashes, lift = (
             messages.LogEntry(offset, 0, quarantine.encode(record))
@@ -195,7 +195,7 @@
             suspects.crashed(quarantine.Crash(crash_id, 's', ('f',)), at_ms)
         self.assertEqual(200, suspects.quarantined_ms('f', 150))
 
-    def test_bystander_of_few_crashes_is_not_quarantined(self):
+    def test_request_beside_few_crashes_is_not_quarantined(self):
         suspects = quarantine.Suspects(quarantine.Rules(crashes=3))
         for number in range(2):
             record = quarantine.Crash(f'c{number}', 's', ('f', 'g'))
