--- a/berylhollow/gateway/_claims.py
+++ b/berylhollow/gateway/_claims.py
@@ -178,7 +178,7 @@
     log_ms: int,
     at_ms: int,
 ) -> Effects:
-    """Settle an own claim; send the verdict on a forwarded one."""
+    """Settle a claim made here; send the verdict on a forwarded one."""
     holding = partition.ledger.holdings.get(entry.key)
     peer = partition.forwarded.pop(entry.claim_id, None)
     if peer is not None:
--- a/berylhollow/gateway/_shared_reads.py
+++ b/berylhollow/gateway/_shared_reads.py
@@ -29,13 +29,13 @@
         if state.sidecars[peer].link is _state.LinkPhase.OPEN
         and state.endpoints[name].instance.failure_domain == domain
     ]
-    old_relays = state.relays[:1]
+    old_source = state.relays[:1]
     state.relays = tuple(sorted(linked, key=rendezvous.digest)[:RELAY_COUNT])
-    if state.relays[:1] == old_relays:
+    if state.relays[:1] == old_source:
         return
-    for peer in (*old_relays, *state.relays[:1]):
+    for peer in (*old_source, *state.relays[:1]):
         if peer in state.sidecars:
-            # Make both due to be told which of them we listen to.
+            # Send both the demand at once: it says which one we listen to.
             state.sidecars[peer].told_ms = clock.NEVER_MS
 
 
