--- a/berylhollow/gateway/__init__.py
+++ b/berylhollow/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway: callers on one side, sidecars on the other."""
+"""The gateway: routes callers' requests to endpoints via their sidecars."""
 
 from berylhollow.gateway._options import Options
 from berylhollow.gateway._reducer import reduce
--- a/berylhollow/gateway/_answers.py
+++ b/berylhollow/gateway/_answers.py
@@ -1,4 +1,4 @@
-"""The form of answers to callers: problem details and headers."""
+"""Responses to callers: problem details, pages and headers."""
 
 import json
 
@@ -8,14 +8,15 @@
 from berylhollow.gateway import _parsing
 from berylhollow import messages
 
-PROBLEM_TYPE = 'application/problem+json'
+PROBLEM_MEDIA_TYPE = 'application/problem+json'
 EVENT_STREAM_TYPE = 'text/event-stream'
-TYPE_PREFIX = 'urn:berylhollow:error:'
-SERVER = 'berylhollow'
+PROBLEM_TYPE_PREFIX = 'urn:berylhollow:error:'
+SERVER_NAME = 'berylhollow'
 MS_PER_SECOND = 1000
 
-# Said anew for each connection; the length goes through the library.
-NOT_RELAYED = frozenset(
+# Headers that are set anew for each connection. The HTTP library handles
+# Content-Length.
+NOT_RELAYED_HEADERS = frozenset(
     {
         'connection',
         'date',
@@ -32,13 +33,13 @@
 )
 
 
-def problem(
+def problem_details(
     kind: errors.Kind, ran: errors.Ran, detail: str, request_id: str
 ) -> dict[str, object]:
     """Return the members of the problem details (RFC 9457) of an error."""
     answer = errors.ANSWERS[kind]
     return {
-        'type': TYPE_PREFIX + kind.value,
+        'type': PROBLEM_TYPE_PREFIX + kind.value,
         'title': answer.title,
         'status': answer.status,
         'detail': detail or answer.title,
@@ -56,11 +57,11 @@
     retry_after_ms: int = 0,
     detail: str = '',
 ) -> web.Response:
-    """Return the whole answer for an error."""
-    members = problem(kind, ran, detail, request_id)
+    """Return the complete response for an error."""
+    members = problem_details(kind, ran, detail, request_id)
     headers = {
-        'Content-Type': PROBLEM_TYPE,
-        'Server': SERVER,
+        'Content-Type': PROBLEM_MEDIA_TYPE,
+        'Server': SERVER_NAME,
         _parsing.REQUEST_ID_HEADER: request_id,
     }
     if retry_after_ms > 0:
@@ -73,27 +74,27 @@
 
 
 def error_event(kind: errors.Kind, ran: errors.Ran, request_id: str) -> bytes:
-    """Return the event that tells a stream's reader that it has failed.
+    """Return the server-sent event that reports a stream's failure.
 
-    The blank lines first end whatever event was cut short. Clients of the
-    usual model APIs look for a member ``error``.
+    The leading blank lines end an event that was cut short. Clients of the
+    common model APIs look for a member ``error``.
     """
-    members = problem(kind, ran, '', request_id)
+    members = problem_details(kind, ran, '', request_id)
     members['message'] = members['title']
     data = json.dumps({'error': members})
     return f'\n\nevent: error\ndata: {data}\n\n'.encode()
 
 
 def json_response(members: object, status: int = 200) -> web.Response:
-    """Return a whole answer of our own."""
-    return json_body(json.dumps(members).encode(), status)
+    """Return a response with ``members`` as JSON."""
+    return raw_json_response(json.dumps(members).encode(), status)
 
 
-def json_body(body: bytes, status: int = 200) -> web.Response:
-    """Return a whole answer of our own whose JSON is there already."""
+def raw_json_response(body: bytes, status: int = 200) -> web.Response:
+    """Return a response whose body is already encoded JSON."""
     return web.Response(
         status=status,
-        headers={'Content-Type': 'application/json', 'Server': SERVER},
+        headers={'Content-Type': 'application/json', 'Server': SERVER_NAME},
         body=body,
     )
 
@@ -101,8 +102,8 @@
 def relayed_headers(
     headers: tuple[messages.Header, ...], request_id: str
 ) -> list[tuple[str, str]]:
-    """Return the headers of an endpoint's answer as its caller sees them."""
-    dropped = NOT_RELAYED
+    """Return the headers of an endpoint's answer for its caller."""
+    dropped = NOT_RELAYED_HEADERS
     for header in headers:
         if header.name.lower() == 'connection':
             dropped = dropped.union(header.value.lower().split(', '))
@@ -111,17 +112,17 @@
         for header in headers
         if header.name.lower() not in dropped
     ]
-    relayed.append(('Server', SERVER))
+    relayed.append(('Server', SERVER_NAME))
     relayed.append((_parsing.REQUEST_ID_HEADER, request_id))
     return relayed
 
 
-def text_response(text: bytes) -> web.Response:
-    """Return a page of plain text, as metrics are read."""
+def prometheus_response(text: bytes) -> web.Response:
+    """Return a response in the Prometheus text format."""
     return web.Response(
         headers={
             'Content-Type': 'text/plain; version=0.0.4; charset=utf-8',
-            'Server': SERVER,
+            'Server': SERVER_NAME,
         },
         body=text,
     )
--- a/berylhollow/gateway/_bodies.py
+++ b/berylhollow/gateway/_bodies.py
@@ -1,4 +1,4 @@
-"""Read callers' request bodies, within bounds of time and memory."""
+"""Read callers' request bodies within limits of time and memory."""
 
 import asyncio
 
@@ -9,45 +9,47 @@
 from berylhollow import errors
 from berylhollow import settings as all_settings
 
-CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
+CONTINUE_RESPONSE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 
-class Bodies:
-    """Read bodies and count what is held of them.
+class BodyReader:
+    """Reads request bodies and limits the memory they use together.
 
     ``held_bytes`` is the size of all bodies of requests that are being read
-    or served. Only what has arrived counts, so that callers who announce
-    much and send nothing take no room from others.
+    or served. Only received bytes count, so that callers who announce a
+    large body and send nothing don't use up the limit.
     """
 
     def __init__(self, settings: all_settings.GatewaySettings):
-        self.largest = settings.body_limit_bytes
-        self.limit_bytes = settings.limits.body_bytes_in_flight
-        self.timeout = settings.slow_client_timeout_ms / clock.MS_PER_SECOND
+        self.max_body_bytes = settings.body_limit_bytes
+        self.max_held_bytes = settings.limits.body_bytes_in_flight
+        self.read_timeout_s = (
+            settings.slow_client_timeout_ms / clock.MS_PER_SECOND
+        )
         self.held_bytes = 0
 
     def release(self, size: int) -> None:
-        """Count a body of ``size`` bytes no longer."""
+        """Stop counting a body of ``size`` bytes."""
         self.held_bytes -= size
 
     async def read(self, request: web.BaseRequest) -> bytes:
-        """Return the whole body, which is held until it is released.
+        """Return the complete body, which counts until it is released.
 
-        Raises BODY_TOO_LARGE, OVERLOADED if too much is held of others,
-        CALLER_TOO_SLOW if it takes too long as a whole, and BAD_REQUEST if
-        it is cut short or badly chunked.
+        Raises BODY_TOO_LARGE, OVERLOADED if the held bodies would exceed
+        their limit, CALLER_TOO_SLOW if reading takes too long in total, and
+        BAD_REQUEST if the body is truncated or badly chunked.
         """
-        if (request.content_length or 0) > self.largest:
+        if (request.content_length or 0) > self.max_body_bytes:
             raise errors.BerylhollowError(errors.Kind.BODY_TOO_LARGE)
-        await _expect(request)
+        await _send_continue(request)
         content = request.content
         try:
             if content.is_eof():
                 data = content.read_nowait(-1)
-                self._hold(len(data), len(data))
+                self._reserve(len(data), len(data))
                 return data
-            async with asyncio.timeout(self.timeout):
-                return await self._read_slowly(content)
+            async with asyncio.timeout(self.read_timeout_s):
+                return await self._read_chunks(content)
         except TimeoutError:
             raise errors.BerylhollowError(
                 errors.Kind.CALLER_TOO_SLOW
@@ -57,37 +59,37 @@
                 errors.Kind.BAD_REQUEST, 'The body is not valid.'
             ) from error
 
-    async def _read_slowly(self, content: aiohttp.StreamReader) -> bytes:
+    async def _read_chunks(self, content: aiohttp.StreamReader) -> bytes:
         data = bytearray()
-        whole = False
+        complete = False
         try:
             while not content.at_eof():
-                part = await content.readany()
-                self._hold(len(part), len(data) + len(part))
-                data += part
-            whole = True
+                chunk = await content.readany()
+                self._reserve(len(chunk), len(data) + len(chunk))
+                data += chunk
+            complete = True
             return bytes(data)
         finally:
-            if not whole:
+            if not complete:
                 self.release(len(data))
 
-    def _hold(self, size: int, total: int) -> None:
-        if total > self.largest:
+    def _reserve(self, size: int, total: int) -> None:
+        if total > self.max_body_bytes:
             raise errors.BerylhollowError(errors.Kind.BODY_TOO_LARGE)
-        if self.held_bytes + size > self.limit_bytes:
+        if self.held_bytes + size > self.max_held_bytes:
             raise errors.BerylhollowError(errors.Kind.OVERLOADED)
         self.held_bytes += size
 
 
-async def _expect(request: web.BaseRequest) -> None:
-    """Ask for a body that the caller holds back until it is wanted."""
-    expected = request.headers.get('Expect')
-    if expected is None:
+async def _send_continue(request: web.BaseRequest) -> None:
+    """Send 100 Continue if the caller waits for it; else BAD_HEADER."""
+    expectation = request.headers.get('Expect')
+    if expectation is None:
         return
-    if expected.lower() != '100-continue':
+    if expectation.lower() != '100-continue':
         raise errors.BerylhollowError(
             errors.Kind.BAD_HEADER, 'Expect is not valid.'
         )
-    await request.writer.write(CONTINUE)
-    # The interim answer is not part of the answer itself.
+    await request.writer.write(CONTINUE_RESPONSE)
+    # The interim response does not count as output of the final response.
     request.writer.output_size = 0
--- a/berylhollow/gateway/_connections.py
+++ b/berylhollow/gateway/_connections.py
@@ -1,4 +1,4 @@
-"""Callers' connections: how many there are, and how they end."""
+"""Callers' connections: their limit, timeouts and failures."""
 
 import asyncio
 import logging
@@ -14,22 +14,23 @@
 LOG = logging.getLogger(__name__)
 
 KEEPALIVE_TIMEOUT_S = 75
-"""Idle connections, and those whose head does not come, end after this."""
+"""Time limit for idle connections and for a request head to arrive."""
 
-LINGERING_S = 2
-"""How long the rest of a refused body is read, so the refusal arrives."""
+LINGERING_TIME_S = 2
+"""How long to read the rest of a refused body so that the refusal arrives."""
 
-REFUSAL_S = 1
-"""How long a connection over the limit stays for its refusal to arrive."""
+REFUSAL_DELIVERY_S = 1
+"""How long a connection over the limit stays open to deliver its refusal."""
 
-REFUSALS = 100
-"""Connections over the limit that are told so at once; others are cut."""
+MAX_PENDING_REFUSALS = 100
+"""How many connections over the limit may be open to deliver a refusal;
+further ones are aborted without a response."""
 
 RETRY_AFTER_MS = 1000
 
 
 class Connection(web.RequestHandler):
-    """A caller's connection; what is no HTTP gets a typed error too."""
+    """A caller's connection; input that is not HTTP gets a typed error."""
 
     def __init__(self, server: 'Server'):
         super().__init__(
@@ -38,26 +39,26 @@
             access_log=None,
             auto_decompress=False,
             keepalive_timeout=KEEPALIVE_TIMEOUT_S,
-            lingering_time=LINGERING_S,
+            lingering_time=LINGERING_TIME_S,
         )
         self.server = server
 
     @property
-    def idle(self) -> bool:
-        """Whether no request is being answered or waits for it.
+    def is_idle(self) -> bool:
+        """Whether no request is being answered or is queued.
 
-        A connection may hold a request that has been read but that no task
-        has begun to answer: closing it would cut that request off.
+        A connection may hold a request that was read but whose handler has
+        not started: closing the connection would lose that request.
         """
         return self not in self.server.busy and not self._messages
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Take a connection, unless there are too many.
+        """Accept a connection, unless the limit is reached.
 
-        Guards against connections that fill the memory: each costs some,
-        also one that never sends a request.
+        The limit bounds memory: each connection takes some, even if it
+        never sends a request.
         """
-        if self.server.full:
+        if self.server.is_full:
             self.force_close()
             self.server.refuse(transport)
             return
@@ -70,20 +71,20 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Return the answer to a failure that no handler answered.
+        """Return the response to a failure that no handler answered.
 
-        It bears the caller's own id like every other answer. Under an id of
-        ours it would look to the caller like the answer to another request.
+        Like every other answer it has the caller's own request id. With an
+        id of the gateway it would look like the answer to another request.
         """
         if request.writer.output_size > 0:
-            # Part of another answer is out: only the end of the connection
-            # tells the caller that it is not whole.
-            raise ConnectionError('the answer has begun')
-        kind = _kind(exc)
+            # Part of another answer was sent: only closing the connection
+            # tells the caller that it is incomplete.
+            raise ConnectionError('an answer has already begun')
+        kind = _error_kind(exc)
         dialect = self.server.dialect
-        shown_id = self.server.ids.next()
+        shown_id = self.server.request_ids.next()
         if kind is errors.Kind.INTERNAL:
-            # Only a request that could be read as a whole has headers.
+            # Only a request that was parsed completely has headers.
             shown_id = dialect.echoed_id(request.headers) or shown_id
             fields = {'shown_id': shown_id, 'status': status}
             LOG.error('request failed', exc_info=exc, extra=fields)
@@ -94,7 +95,7 @@
         return response
 
 
-def _kind(error: BaseException | None) -> errors.Kind:
+def _error_kind(error: BaseException | None) -> errors.Kind:
     if isinstance(
         error, http_exceptions.LineTooLong | http_exceptions.InvalidHeader
     ):
@@ -107,58 +108,58 @@
 class Server(web.Server):
     """The server for callers' connections, at most ``limit`` of them.
 
-    ``busy`` are those on which a request is being answered.
+    ``busy`` holds the connections on which a request is being answered.
     """
 
     def __init__(
         self,
         handler,
-        ids: _parsing.RequestIds,
+        request_ids: _parsing.RequestIds,
         limit: int,
         dialect: _dialect.Dialect,
     ):
         super().__init__(handler, handler_cancellation=True)
-        self.ids = ids
+        self.request_ids = request_ids
         self.dialect = dialect
         self.limit = limit
         self.busy: set[asyncio.BaseProtocol] = set()
-        self.refused = 0
-        self._refusing = 0
+        self.refused_count = 0
+        self._pending_refusals = 0
 
     def __call__(self) -> Connection:
         return Connection(self)
 
     @property
-    def full(self) -> bool:
-        """Whether no further connection is taken."""
+    def is_full(self) -> bool:
+        """Whether the limit of connections is reached."""
         return len(self._connections) >= self.limit
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way."""
+        """Close the connections without a request."""
         for connection in self.connections:
-            if connection.idle:
+            if connection.is_idle:
                 connection.force_close()
 
     def refuse(self, transport: asyncio.Transport) -> None:
-        """Tell a caller on a connection too many, before it asks."""
-        self.refused += 1
-        if self._refusing >= REFUSALS:
+        """Send a refusal on a connection over the limit, then close it."""
+        self.refused_count += 1
+        if self._pending_refusals >= MAX_PENDING_REFUSALS:
             transport.abort()
             return
-        self._refusing += 1
-        transport.write(_refusal(self.ids.next()))
+        self._pending_refusals += 1
+        transport.write(_encode_refusal(self.request_ids.next()))
         transport.write_eof()
         asyncio.get_running_loop().call_later(
-            REFUSAL_S, self._end_refusal, transport
+            REFUSAL_DELIVERY_S, self._end_refusal, transport
         )
 
     def _end_refusal(self, transport: asyncio.Transport) -> None:
-        self._refusing -= 1
+        self._pending_refusals -= 1
         transport.abort()
 
 
-def _refusal(request_id: str) -> bytes:
-    """Return the bytes of an answer on a connection without requests."""
+def _encode_refusal(request_id: str) -> bytes:
+    """Return the HTTP response for a connection over the limit."""
     kind = errors.Kind.OVERLOADED
     response = _answers.error_response(
         kind, errors.ANSWERS[kind].ran, request_id, RETRY_AFTER_MS
--- a/berylhollow/gateway/_dialect.py
+++ b/berylhollow/gateway/_dialect.py
@@ -1,7 +1,7 @@
-"""How callers say what they want, and how they are told of failures.
+"""Dialects: the HTTP interfaces that a gateway can offer to callers.
 
-The path of a request through the gateway is the same whoever the callers
-are; a dialect only decodes what they send and encodes what we add.
+A request is handled the same in every dialect; a dialect only decodes what
+callers send and encodes the headers and errors that the gateway adds.
 """
 
 import dataclasses
@@ -18,39 +18,39 @@
 HTTP_1_1 = (1, 1)
 
 
-class Draft(typing.Protocol):
-    """A request whose head is valid and whose body is still to come.
+class RequestDraft(typing.Protocol):
+    """A request whose head is valid and whose body was not read yet.
 
-    ``head`` is None where only the body tells what is asked for.
+    ``head`` is None if the target can only be determined from the body.
     """
 
     head: events.RequestHead | None
 
     def build(self, request_id: str, body: bytes) -> events.Request:
-        """Return the request as the reducer takes it.
+        """Build the request for the reducer.
 
         Raises ``errors.BerylhollowError`` if the body is not valid.
         """
 
 
 class Dialect(typing.Protocol):
-    """The form of requests and of our own answers.
+    """The format of requests and of the gateway's own responses.
 
-    ``error_events`` tells whether a stream that breaks off ends with an
-    event of ours.
+    ``error_events`` is true if a stream that breaks off ends with an error
+    event.
     """
 
     error_events: bool
 
     def echoed_id(self, headers) -> str | None:
-        """Return the caller's own id of its request, if it sent one."""
+        """Return the request id that the caller sent, None without one."""
 
     def accept(
         self, request: web.BaseRequest, default_deadline_ms: int
-    ) -> Draft | None:
-        """Check the head of a request; None if it asks for a page of ours.
+    ) -> RequestDraft | None:
+        """Parse the head of a request; None for the gateway's own pages.
 
-        Raises ``errors.BerylhollowError``.
+        Raises ``errors.BerylhollowError`` if the head is not valid.
         """
 
     def error_response(
@@ -61,16 +61,16 @@
         retry_after_ms: int = 0,
         detail: str = '',
     ) -> web.Response:
-        """Return the whole answer for an error."""
+        """Return the complete response for an error."""
 
     def relayed_headers(
         self, headers: tuple[messages.Header, ...], request_id: str
     ) -> list[tuple[str, str]]:
-        """Return the headers of an endpoint's answer as callers see them."""
+        """Return the headers of an endpoint's answer for the caller."""
 
 
 class MethodNotAllowedError(errors.BerylhollowError):
-    """A method that the path does not have; ``allowed`` are those it has."""
+    """The path does not support the method, only those in ``allowed``."""
 
     def __init__(self, allowed: frozenset[str]):
         super().__init__(errors.Kind.METHOD_NOT_ALLOWED)
@@ -84,10 +84,10 @@
 
 
 def check_version(request: web.BaseRequest) -> None:
-    """Raise BAD_REQUEST for a version without an end of answers.
+    """Raise BAD_REQUEST for versions before HTTP/1.1.
 
-    Before HTTP/1.1 the end of a connection is the end of an answer: one that
-    is cut short would look whole.
+    Before HTTP/1.1 a body ends with its connection: a truncated answer
+    would look complete.
     """
     if request.version < HTTP_1_1:
         raise errors.BerylhollowError(
@@ -96,19 +96,19 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OwnDraft:
-    """A request in the project's own form."""
+class NativeDraft:
+    """A request in the project's own interface, without its body."""
 
-    terms: _parsing.CallerTerms
+    options: _parsing.RequestOptions
     target: _parsing.Target
     method: str
     headers: tuple[messages.Header, ...]
     head: events.RequestHead | None = None
 
     def build(self, request_id: str, body: bytes) -> events.Request:
-        return _parsing.build(
+        return _parsing.build_request(
             request_id,
-            self.terms,
+            self.options,
             self.target,
             self.method,
             self.headers,
@@ -126,17 +126,19 @@
 
     def accept(
         self, request: web.BaseRequest, default_deadline_ms: int
-    ) -> OwnDraft | None:
-        target = _parsing.target(_parsing.origin_form(request.raw_path))
+    ) -> NativeDraft | None:
+        target = _parsing.parse_target(_parsing.origin_form(request.raw_path))
         if target is None:
             return None
         check_method(request, target.methods)
         check_version(request)
-        terms = _parsing.caller_terms(request.headers, default_deadline_ms)
-        headers = _parsing.passed_headers(request.headers)
+        options = _parsing.request_options(
+            request.headers, default_deadline_ms
+        )
+        headers = _parsing.forwarded_headers(request.headers)
         if target.is_model:
             _parsing.check_json_headers(request.headers)
-        return OwnDraft(terms, target, request.method, headers)
+        return NativeDraft(options, target, request.method, headers)
 
     def error_response(
         self,
--- a/berylhollow/gateway/_direct_runs.py
+++ b/berylhollow/gateway/_direct_runs.py
@@ -1,8 +1,8 @@
-"""Attempts at direct endpoints, told of like those behind a sidecar.
+"""Attempts at direct endpoints, which take requests without a sidecar.
 
-Each attempt is one HTTP exchange. What comes of it is turned into the
-messages that a sidecar would send, so that everything after it (choice,
-retries, relay, budgets) is the same.
+Each attempt is one HTTP exchange. Its outcome is reported in the messages
+that a sidecar would send, so that placement, retries, relay and budgets
+work the same for both.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 
 LOG = logging.getLogger(__name__)
 
-LIMIT_BYTES = 256 * 1024
-"""What is read of an answer ahead of its caller; then the endpoint waits."""
+READ_AHEAD_BYTES = 256 * 1024
+"""How far an answer is read ahead of its caller before reading pauses."""
 
-TAKEN = (
+ATTEMPT_MESSAGES = (
     messages.Offer,
     messages.Cancel,
     messages.Acknowledge,
@@ -34,30 +34,30 @@
     platform.NotRun.ADAPTER_ABSENT: errors.Kind.ADAPTER_ABSENT,
     platform.NotRun.REFUSED: errors.Kind.OVERLOADED,
 }
-SERVER_ERRORS = 500
-SUCCESSES = range(200, 300)
+FIRST_SERVER_ERROR = 500
+SUCCESS_STATUSES = range(200, 300)
 
 
 class Owner(typing.Protocol):
-    """What the runs report to the shell."""
+    """Callbacks and look-ups that the shell provides."""
 
     def message(self, peer: str, message: messages.Message) -> None:
-        """Take a message of an endpoint."""
+        """Handle a message from an endpoint."""
 
     def noticed(
         self, peer: str, sent_ms: int, notice: events.EndpointNotice
     ) -> None:
-        """Take what an endpoint says of itself."""
+        """Handle what an endpoint says about itself in an answer."""
 
     def now_ms(self) -> int:
-        """Return the time."""
+        """Return the current time."""
 
     def row_of(self, name: str) -> events.Instance | None:
-        """Return what is listed of an endpoint, None if it is unknown."""
+        """Return the listed instance of an endpoint, None if unknown."""
 
 
 class DirectRuns:
-    """The exchanges under way, by attempt."""
+    """The running exchanges, by attempt id."""
 
     def __init__(
         self,
@@ -68,18 +68,18 @@
         self.calls = calls
         self.owner = owner
         self.tasks = tasks
-        self.under_way: dict[str, Run] = {}
+        self.runs: dict[str, DirectRun] = {}
 
-    def takes(self, message: messages.Message) -> bool:
-        """Tell whether a message concerns an attempt."""
-        return isinstance(message, TAKEN)
+    def is_attempt_message(self, message: messages.Message) -> bool:
+        """Return whether a message concerns an attempt."""
+        return isinstance(message, ATTEMPT_MESSAGES)
 
     def take(self, peer: str, message: messages.Message) -> None:
-        """Begin an attempt, cancel it or note what its caller has."""
+        """Start or cancel an attempt, or handle an acknowledgement."""
         if isinstance(message, messages.Offer):
-            self._begin(peer, message)
+            self._start_run(peer, message)
             return
-        run = self.under_way.get(message.attempt_id)
+        run = self.runs.get(message.attempt_id)
         if run is None:
             return
         if isinstance(message, messages.Cancel):
@@ -88,21 +88,23 @@
             run.acknowledge(message.next_sequence)
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections to endpoints."""
         await self.calls.close()
 
-    def _begin(self, peer: str, offer: messages.Offer) -> None:
-        run = Run(self.calls, self.owner, peer, offer)
-        self.under_way[offer.attempt_id] = run
-        run.task = self.tasks.start(run.follow())
-        run.task.add_done_callback(lambda _: self._ended(offer.attempt_id))
+    def _start_run(self, peer: str, offer: messages.Offer) -> None:
+        run = DirectRun(self.calls, self.owner, peer, offer)
+        self.runs[offer.attempt_id] = run
+        run.task = self.tasks.start(run.execute())
+        run.task.add_done_callback(
+            lambda _: self._forget_run(offer.attempt_id)
+        )
 
-    def _ended(self, attempt_id: str) -> None:
-        self.under_way.pop(attempt_id, None)
+    def _forget_run(self, attempt_id: str) -> None:
+        self.runs.pop(attempt_id, None)
 
 
-class Run:
-    """One exchange with an endpoint."""
+class DirectRun:
+    """One HTTP exchange with an endpoint."""
 
     def __init__(
         self,
@@ -116,67 +118,77 @@
         self.peer = peer
         self.offer = offer
         self.task: asyncio.Task | None = None
-        self.sender = stream.StreamSender(offer.attempt_id, LIMIT_BYTES)
-        self.room = asyncio.Event()
+        self.sender = stream.StreamSender(offer.attempt_id, READ_AHEAD_BYTES)
+        self.sender_unblocked = asyncio.Event()
 
     def cancel(self) -> None:
-        """Break off: the connection closes, which ends the run there."""
+        """Close the connection, which cancels the run at the endpoint."""
         self.task.cancel()
 
     def acknowledge(self, next_sequence: int) -> None:
-        """The caller's connection has taken all before this."""
+        """Note that the caller's connection took all earlier payloads."""
         self.sender.acknowledge(next_sequence)
-        self.room.set()
+        self.sender_unblocked.set()
 
-    async def follow(self) -> None:
-        """See the exchange through and report how it ends."""
-        row = self.owner.row_of(self.peer)
-        if row is None:
+    async def execute(self) -> None:
+        """Send the request and report its answer or failure."""
+        instance = self.owner.row_of(self.peer)
+        if instance is None:
             kind = errors.Kind.ENDPOINT_UNREACHABLE
-            self._failed(kind, errors.Ran.NOT_RUN, 'not listed any more')
+            self._report_failure(
+                kind, errors.Ran.NOT_RUN, 'endpoint is no longer listed'
+            )
             return
         sent_ms = self.owner.now_ms()
         try:
             answer = await self.calls.send(
-                self.offer, row.address, row.listed_name
+                self.offer, instance.address, instance.listed_name
             )
         except outgoing.NotDone as error:
             kind = errors.Kind.ENDPOINT_UNREACHABLE
-            self._failed(kind, errors.Ran.NOT_RUN, str(error))
+            self._report_failure(kind, errors.Ran.NOT_RUN, str(error))
             return
         except outgoing.CallError as error:
-            # Sent, and no answer: it may have run.
+            # The request was sent but not answered: it may have run.
             kind = errors.Kind.ENGINE_RESTARTED
-            self._failed(kind, errors.Ran.UNKNOWN, str(error))
+            self._report_failure(kind, errors.Ran.UNKNOWN, str(error))
             return
         try:
             if answer.notice is not None:
                 self.owner.noticed(self.peer, sent_ms, answer.notice)
-            await self._answered(answer)
+            await self._handle_answer(answer)
         finally:
             answer.close()
 
-    async def _answered(self, answer: platform.Answer) -> None:
+    async def _handle_answer(self, answer: platform.Answer) -> None:
         if not answer.own:
-            # An answer that came too late for another request, or is none.
+            # A late answer to another request, or no valid answer at all.
             kind = errors.Kind.OUTCOME_UNKNOWN
-            self._failed(kind, errors.Ran.UNKNOWN, 'not the own answer')
+            self._report_failure(
+                kind,
+                errors.Ran.UNKNOWN,
+                'answer does not belong to this request',
+            )
             return
         if answer.not_run is not None:
             kind = NOT_RUN_KINDS[answer.not_run]
-            self._failed(kind, errors.Ran.NOT_RUN, answer.not_run.value)
-            await self._drop_body(answer)
+            self._report_failure(
+                kind, errors.Ran.NOT_RUN, answer.not_run.value
+            )
+            await self._discard_body(answer)
             return
-        if answer.status in SUCCESSES and not answer.signed:
+        if answer.status in SUCCESS_STATUSES and not answer.signed:
             kind = errors.Kind.ENDPOINT_FAILED
-            self._failed(kind, errors.Ran.UNKNOWN, 'unsigned success')
+            self._report_failure(
+                kind, errors.Ran.UNKNOWN, 'successful answer is not signed'
+            )
             return
-        if answer.status >= SERVER_ERRORS and self.offer.another:
+        if answer.status >= FIRST_SERVER_ERROR and self.offer.another:
             kind = errors.Kind.ENDPOINT_FAILED
-            self._failed(kind, errors.Ran.RAN, f'HTTP {answer.status}')
-            await self._drop_body(answer)
+            self._report_failure(kind, errors.Ran.RAN, f'HTTP {answer.status}')
+            await self._discard_body(answer)
             return
-        self._tell(
+        self._report(
             messages.Started(
                 self.offer.attempt_id,
                 answer.status,
@@ -184,30 +196,35 @@
                 self.offer.adapter,
             )
         )
-        await self._pass_on(answer)
+        await self._relay_body(answer)
 
-    async def _drop_body(self, answer: platform.Answer) -> None:
-        """Read a body that nobody wants, to keep the connection."""
+    async def _discard_body(self, answer: platform.Answer) -> None:
+        """Read an unused body, so that the connection can be reused."""
         try:
             async for _ in answer.parts():
                 pass
         except outgoing.MaybeDone as error:
-            LOG.info('rest of a refusal lost', extra={'reason': str(error)})
+            LOG.info(
+                'reading an unused answer body failed',
+                extra={'reason': str(error)},
+            )
 
-    async def _pass_on(self, answer: platform.Answer) -> None:
+    async def _relay_body(self, answer: platform.Answer) -> None:
         try:
             async for part in answer.parts():
                 while self.sender.paused:
-                    self.room.clear()
-                    await self.room.wait()
-                self._tell(self.sender.push(part))
+                    self.sender_unblocked.clear()
+                    await self.sender_unblocked.wait()
+                self._report(self.sender.push(part))
         except outgoing.MaybeDone as error:
             kind = errors.Kind.STREAM_BROKEN
-            self._failed(kind, errors.Ran.UNKNOWN, str(error))
+            self._report_failure(kind, errors.Ran.UNKNOWN, str(error))
             return
-        self._tell(self.sender.finish())
+        self._report(self.sender.finish())
 
-    def _failed(self, kind: errors.Kind, ran: errors.Ran, why: str) -> None:
+    def _report_failure(
+        self, kind: errors.Kind, ran: errors.Ran, reason: str
+    ) -> None:
         LOG.info(
             'attempt failed',
             extra={
@@ -215,10 +232,12 @@
                 'endpoint': self.peer,
                 'kind': kind.value,
                 'ran': ran.value,
-                'reason': why,
+                'reason': reason,
             },
         )
-        self._tell(messages.Failed(self.offer.attempt_id, kind, ran, 0, why))
+        self._report(
+            messages.Failed(self.offer.attempt_id, kind, ran, 0, reason)
+        )
 
-    def _tell(self, message: messages.Message) -> None:
+    def _report(self, message: messages.Message) -> None:
         self.owner.message(self.peer, message)
--- a/berylhollow/gateway/_exchange.py
+++ b/berylhollow/gateway/_exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request from its arrival to the end of its answer."""
+"""One caller's request, from its arrival to the end of its answer."""
 
 import asyncio
 import logging
@@ -10,15 +10,15 @@
 
 LOG = logging.getLogger(__name__)
 
-Beginning = effects.AnswerError | effects.AnswerStored | effects.BeginAnswer
+AnswerStart = effects.AnswerError | effects.AnswerStored | effects.BeginAnswer
 
 
 class Exchange:
-    """What the shell keeps of a request while its caller waits.
+    """The shell's state of a request until its answer has ended.
 
     ``shown_id`` is the request id that the caller sees: its own, if it sent
-    one. ``beginning`` is the effect that begins the answer. The other
-    attributes end up in the log line.
+    one. ``answer_start`` is the effect that begins the answer. The other
+    attributes are written to the log line.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self.request = request
         self.shown_id = shown_id
         self.arrived_ms = arrived_ms
-        self.beginning: asyncio.Future[Beginning] = loop.create_future()
+        self.answer_start: asyncio.Future[AnswerStart] = loop.create_future()
         self.relay: _relay.Relay | None = None
         self.service = request.service
         self.first_byte_ms: int | None = None
@@ -39,18 +39,18 @@
         self.kind: errors.Kind | None = None
         self.ran = errors.Ran.UNKNOWN
 
-    def begin(self, effect: Beginning) -> None:
-        """Take the effect that begins the answer; a second one is ignored."""
-        if not self.beginning.done():
-            self.beginning.set_result(effect)
+    def begin(self, effect: AnswerStart) -> None:
+        """Set the effect that begins the answer; ignore further ones."""
+        if not self.answer_start.done():
+            self.answer_start.set_result(effect)
 
-    def failed(self, kind: errors.Kind, ran: errors.Ran) -> None:
-        """Note how the request failed."""
+    def record_failure(self, kind: errors.Kind, ran: errors.Ran) -> None:
+        """Record how the request failed."""
         self.kind = kind
         self.ran = ran
 
     def log(self, now_ms: int, revision: int) -> None:
-        """Write the one line of an answered request."""
+        """Write the log line of an answered request."""
         request = self.request
         adapter = request.adapter
         begin = self.relay.begin if self.relay else None
--- a/berylhollow/gateway/_http.py
+++ b/berylhollow/gateway/_http.py
@@ -1,4 +1,4 @@
-"""The gateway's HTTP front end: take callers' requests, answer each one."""
+"""The gateway's HTTP front end: accepts and answers callers' requests."""
 
 import asyncio
 import logging
@@ -21,46 +21,46 @@
 
 LOG = logging.getLogger(__name__)
 
-IDLE_CHECK_S = 0.01
-CLOSE_S = 0.1
-"""How long handlers may take to end when everything is closed."""
+IDLE_POLL_INTERVAL_S = 0.01
+HANDLER_SHUTDOWN_TIMEOUT_S = 0.1
+"""How long request handlers may take to end when the server closes."""
 
-BACKLOG = 1024
-CLOSING_KINDS = _responding.ELSEWHERE_KINDS | {
+LISTEN_BACKLOG = 1024
+CONNECTION_CLOSING_KINDS = _responding.OTHER_GATEWAY_KINDS | {
     errors.Kind.CALLER_TOO_SLOW,
     errors.Kind.OVERLOADED,
 }
 READ_METHODS = frozenset({'GET', 'HEAD'})
 
 
-class Owner(_responding.Reports, typing.Protocol):
-    """What the front end needs of the shell."""
+class Owner(_responding.AnswerListener, typing.Protocol):
+    """What the front end needs from the shell."""
 
     stopping: bool
 
-    def arrived(self, exchange: _exchange.Exchange) -> None:
-        """Take a request that is valid in form."""
+    def request_arrived(self, exchange: _exchange.Exchange) -> None:
+        """Take a valid request."""
 
-    def gone(self, exchange: _exchange.Exchange) -> None:
-        """The caller left, or takes nothing, before its answer was whole."""
+    def caller_gone(self, exchange: _exchange.Exchange) -> None:
+        """The caller disconnected or stalled before its answer was sent."""
 
-    def forget(self, exchange: _exchange.Exchange) -> None:
-        """Forget the exchange: its caller will get nothing more."""
+    def forget_exchange(self, exchange: _exchange.Exchange) -> None:
+        """Drop the exchange: its caller will get nothing more."""
 
-    def refused(self, kind: errors.Kind) -> None:
-        """A request was refused before it was taken."""
+    def request_refused(self, kind: errors.Kind) -> None:
+        """A request was refused before the reducer knew of it."""
 
-    def refused_by_head(
+    def head_refusal(
         self, head: events.RequestHead, shown_id: str
     ) -> _workspaces.Refusal | None:
-        """Return why a request will be refused, before its body is read."""
+        """Return why a request is refused by its head, None if it is not."""
 
-    async def page(self, path: str) -> web.Response | None:
-        """Return a page of the gateway itself, None for an unknown path."""
+    async def gateway_page(self, path: str) -> web.Response | None:
+        """Return one of the gateway's own pages, None if unknown."""
 
 
 class FrontEnd:
-    """Listen for callers and see every request to its answer."""
+    """Listens for callers and answers each of their requests."""
 
     def __init__(
         self,
@@ -71,20 +71,20 @@
         self.settings = settings
         self.owner = owner
         self.dialect = dialect
-        self.ids = _parsing.RequestIds()
-        self.slow_timeout = (
+        self.request_ids = _parsing.RequestIds()
+        self.slow_client_timeout_s = (
             settings.slow_client_timeout_ms / clock.MS_PER_SECOND
         )
         self.port = settings.listen.port
-        self.bodies = _bodies.Bodies(settings)
+        self.body_reader = _bodies.BodyReader(settings)
         self.server: _connections.Server | None = None
         self._listener: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen; ``port`` then is the real one. Raises OSError."""
+        """Start listening and set ``port``. Raises OSError."""
         self.server = _connections.Server(
             self.serve,
-            self.ids,
+            self.request_ids,
             self.settings.listen.connections,
             self.dialect,
         )
@@ -92,37 +92,37 @@
             self.server,
             self.settings.listen.host,
             self.settings.listen.port,
-            backlog=BACKLOG,
+            backlog=LISTEN_BACKLOG,
         )
         self.port = self._listener.sockets[0].getsockname()[1]
 
     def stop_listening(self) -> None:
-        """Take no new connection and close those that are idle."""
+        """Accept no new connections and close the idle ones."""
         if self._listener is not None:
             self._listener.close()
         self.server.close_idle()
 
-    async def idle(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Return once no request is in flight."""
         while self.server.busy:
-            await asyncio.sleep(IDLE_CHECK_S)
+            await asyncio.sleep(IDLE_POLL_INTERVAL_S)
 
     async def close(self) -> None:
-        """Close everything; what is still in flight is cut off."""
+        """Close all connections, including those with requests in flight."""
         self.stop_listening()
-        await self.server.shutdown(CLOSE_S)
+        await self.server.shutdown(HANDLER_SHUTDOWN_TIMEOUT_S)
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one request."""
-        request_id = shown_id = self.ids.next()
+        request_id = shown_id = self.request_ids.next()
         protocol = request.protocol
         self.server.busy.add(protocol)
         try:
             shown_id = self.dialect.echoed_id(request.headers) or shown_id
             response = await self._answer(request, request_id, shown_id)
         except errors.BerylhollowError as error:
-            self.owner.refused(error.kind)
-            response = self._refusal(error, shown_id)
+            self.owner.request_refused(error.kind)
+            response = self._refusal_response(error, shown_id)
         finally:
             self.server.busy.discard(protocol)
         if self.owner.stopping and not response.prepared:
@@ -135,97 +135,101 @@
         draft = self.dialect.accept(request, self.settings.deadline_ms)
         if draft is None:
             path = _parsing.origin_form(request.raw_path)
-            return await self._page(request, path.partition('?')[0])
-        self._check_head(draft.head, shown_id)
-        body = await self.bodies.read(request)
+            return await self._page_response(request, path.partition('?')[0])
+        self._refuse_by_head(draft.head, shown_id)
+        body = await self.body_reader.read(request)
         try:
-            taken = draft.build(request_id, body)
-            return await self._see_through(request, taken, shown_id)
+            accepted = draft.build(request_id, body)
+            return await self._run_exchange(request, accepted, shown_id)
         finally:
-            self.bodies.release(len(body))
+            self.body_reader.release(len(body))
 
-    def _check_head(
+    def _refuse_by_head(
         self, head: events.RequestHead | None, shown_id: str
     ) -> None:
         if head is None:
             return
-        refusal = self.owner.refused_by_head(head, shown_id)
+        refusal = self.owner.head_refusal(head, shown_id)
         if refusal is not None:
             raise errors.BerylhollowError(
                 refusal.kind, retry_after_ms=refusal.retry_after_ms
             )
 
-    async def _page(
+    async def _page_response(
         self, request: web.BaseRequest, path: str
     ) -> web.StreamResponse:
-        response = await self.owner.page(path)
+        response = await self.owner.gateway_page(path)
         if response is None:
             raise errors.BerylhollowError(errors.Kind.NOT_FOUND)
         _dialect.check_method(request, READ_METHODS)
         return response
 
-    async def _see_through(
-        self, request: web.BaseRequest, taken: events.Request, shown_id: str
+    async def _run_exchange(
+        self, request: web.BaseRequest, accepted: events.Request, shown_id: str
     ) -> web.StreamResponse:
-        """See a request through the reducer to its answer."""
+        """Hand a request to the reducer and write its answer."""
         exchange = _exchange.Exchange(
-            taken,
+            accepted,
             shown_id,
             self.owner.now_ms(),
             asyncio.get_running_loop(),
         )
         try:
-            self.owner.arrived(exchange)
+            self.owner.request_arrived(exchange)
             return await self._respond(request, exchange)
         except (ConnectionError, _responding.StalledError):
-            self._leave(exchange)
-            _responding.abort(request)
-            raise ConnectionResetError('the caller is gone') from None
+            self._cancel_exchange(exchange)
+            _responding.abort_connection(request)
+            raise ConnectionResetError(
+                'the caller disconnected or stalled'
+            ) from None
         except asyncio.CancelledError:
-            self._leave(exchange)
+            self._cancel_exchange(exchange)
             raise
         except Exception:
             LOG.exception('answer failed', extra={'request_id': shown_id})
-            self._fail(request, exchange)
+            self._fail_exchange(request, exchange)
             raise errors.BerylhollowError(errors.Kind.INTERNAL) from None
         finally:
-            self.owner.forget(exchange)
+            self.owner.forget_exchange(exchange)
 
-    def _leave(self, exchange: _exchange.Exchange) -> None:
-        exchange.failed(errors.Kind.CANCELLED, errors.Ran.UNKNOWN)
-        self.owner.gone(exchange)
+    def _cancel_exchange(self, exchange: _exchange.Exchange) -> None:
+        exchange.record_failure(errors.Kind.CANCELLED, errors.Ran.UNKNOWN)
+        self.owner.caller_gone(exchange)
 
-    def _fail(
+    def _fail_exchange(
         self, request: web.BaseRequest, exchange: _exchange.Exchange
     ) -> None:
-        """End an exchange whose answer met a defect.
+        """End an exchange after an unexpected exception.
 
-        A head that was begun may have set the connection up for a body that
-        an error's answer does not have: the connection is cut.
+        If a head was begun, the connection may be set up for a body that an
+        error response does not have: it is aborted.
         """
-        exchange.failed(errors.Kind.INTERNAL, errors.Ran.UNKNOWN)
-        self.owner.gone(exchange)
+        exchange.record_failure(errors.Kind.INTERNAL, errors.Ran.UNKNOWN)
+        self.owner.caller_gone(exchange)
         if exchange.relay is not None:
-            _responding.abort(request)
+            _responding.abort_connection(request)
 
     async def _respond(
         self, request: web.BaseRequest, exchange: _exchange.Exchange
     ) -> web.StreamResponse:
-        beginning = await exchange.beginning
-        if not isinstance(beginning, effects.BeginAnswer):
-            return _responding.whole_answer(exchange, beginning, self.dialect)
+        answer_start = await exchange.answer_start
+        if not isinstance(answer_start, effects.BeginAnswer):
+            return _responding.complete_response(
+                exchange, answer_start, self.dialect
+            )
         answer = _responding.RelayedAnswer(
             request,
             exchange,
             exchange.relay,
             self.owner,
             self.dialect,
-            self.slow_timeout,
+            self.slow_client_timeout_s,
             self.owner.stopping,
         )
         return await answer.write()
 
-    def _refusal(
+    def _refusal_response(
         self, error: errors.BerylhollowError, shown_id: str
     ) -> web.Response:
         kind = error.kind
@@ -238,6 +242,6 @@
         )
         if isinstance(error, _dialect.MethodNotAllowedError):
             response.headers['Allow'] = ', '.join(sorted(error.allowed))
-        if kind in CLOSING_KINDS:
+        if kind in CONNECTION_CLOSING_KINDS:
             response.force_close()
         return response
--- a/berylhollow/gateway/_models.py
+++ b/berylhollow/gateway/_models.py
@@ -1,4 +1,4 @@
-"""The list of models, in the form of the usual model APIs."""
+"""The list of models, in the format of the common model APIs."""
 
 import asyncio
 import json
@@ -8,15 +8,15 @@
 from berylhollow import manifest
 
 PATH = '/v1/models'
-SLICE = 200
-"""Adapters that are listed without a pause, about a millisecond's work."""
+ADAPTERS_PER_SLICE = 200
+"""Adapters listed between yields to the event loop, about 1 ms of work."""
 
 
-class Models:
-    """The servable adapter versions as callers name them.
+class ModelList:
+    """The servable adapter versions, under the names that callers use.
 
-    The list of thousands of versions is made once for each revision that a
-    caller asks for.
+    The list of thousands of versions is built once per revision, when a
+    caller asks for it, and cached.
     """
 
     def __init__(self):
@@ -24,36 +24,38 @@
         self.body = b''
 
     async def list(self, current: configuration.Configuration | None) -> bytes:
-        """Return the JSON of all; CONFIGURATION_UNAVAILABLE if unknown."""
-        current = _known(current)
+        """Return all as JSON; CONFIGURATION_UNAVAILABLE without one."""
+        current = _require_configuration(current)
         if self.revision == current.revision:
             return self.body
-        parts = []
+        entries = []
         for number, adapter in enumerate(current.adapters.values(), 1):
-            parts += _versions(adapter)
-            if number % SLICE == 0:
-                # The whole list takes long enough to hold up every stream.
+            entries += _servable_entries(adapter)
+            if number % ADAPTERS_PER_SLICE == 0:
+                # Building the whole list at once would delay all streams.
                 await asyncio.sleep(0)
-        listed = ', '.join(sorted(parts))
-        self.body = f'{{"object": "list", "data": [{listed}]}}'.encode()
+        joined_entries = ', '.join(sorted(entries))
+        self.body = (
+            f'{{"object": "list", "data": [{joined_entries}]}}'.encode()
+        )
         self.revision = current.revision
         return self.body
 
-    def one(
+    def get_version(
         self, current: configuration.Configuration | None, name: str
     ) -> bytes:
-        """Return the JSON of one; NOT_FOUND if it is not servable."""
-        current = _known(current)
+        """Return one version as JSON; NOT_FOUND if it is not servable."""
+        current = _require_configuration(current)
         adapter, _, version = name.rpartition('@')
         declared = current.adapter(adapter)
         if declared is not None:
-            for each in declared.versions:
-                if each.servable and each.version == version:
-                    return _model(declared, version).encode()
+            for candidate in declared.versions:
+                if candidate.servable and candidate.version == version:
+                    return _model_entry(declared, version).encode()
         raise errors.BerylhollowError(errors.Kind.NOT_FOUND)
 
 
-def _known(
+def _require_configuration(
     current: configuration.Configuration | None,
 ) -> configuration.Configuration:
     if current is None:
@@ -61,15 +63,15 @@
     return current
 
 
-def _versions(adapter: manifest.Adapter) -> list[str]:
+def _servable_entries(adapter: manifest.Adapter) -> list[str]:
     return [
-        _model(adapter, version.version)
+        _model_entry(adapter, version.version)
         for version in adapter.versions
         if version.servable
     ]
 
 
-def _model(adapter: manifest.Adapter, version: str) -> str:
+def _model_entry(adapter: manifest.Adapter, version: str) -> str:
     return json.dumps(
         {
             'id': f'{adapter.name}@{version}',
--- a/berylhollow/gateway/_pages.py
+++ b/berylhollow/gateway/_pages.py
@@ -17,12 +17,12 @@
 from berylhollow import settings as all_settings
 from berylhollow import shell
 
-MODEL_PREFIX = f'{_models.PATH}/'
-UNAVAILABLE = 503
+MODEL_PATH_PREFIX = f'{_models.PATH}/'
+SERVICE_UNAVAILABLE = 503
 
 
 class Owner(typing.Protocol):
-    """What the pages tell of the shell."""
+    """The attributes of the shell that the pages show."""
 
     settings: all_settings.GatewaySettings
     driver: shell.Driver
@@ -31,45 +31,45 @@
 
 
 class Pages:
-    """Answer for the gateway itself; the reducer's state is only read."""
+    """Renders the gateway's own pages, from a read-only view of its state."""
 
     def __init__(self, owner: Owner, metrics_text: typing.Callable[[], bytes]):
         self.owner = owner
         self.metrics_text = metrics_text
-        self.pages = {
+        self.handlers = {
             '/healthz': self.health,
             '/readyz': self.readiness,
             '/status': self.status,
             '/metrics': self.metrics,
         }
-        self.models = _models.Models()
+        self.models = _models.ModelList()
 
     async def get(self, path: str) -> web.Response | None:
         """Return the page at a path, None if there is none."""
-        page = self.pages.get(path)
-        if page is not None:
-            return page()
+        handler = self.handlers.get(path)
+        if handler is not None:
+            return handler()
         if path == _models.PATH:
             return await self.list_models()
-        if path.startswith(MODEL_PREFIX):
-            return self.model(path.removeprefix(MODEL_PREFIX))
+        if path.startswith(MODEL_PATH_PREFIX):
+            return self.get_model(path.removeprefix(MODEL_PATH_PREFIX))
         return None
 
     def health(self) -> web.Response:
-        """The process answers, so it lives."""
+        """Liveness: the process is able to answer."""
         return _answers.json_response({'alive': True})
 
     def readiness(self) -> web.Response:
-        """Ready to take callers: informed, and not shutting down."""
+        """Readiness: required data was read and no stop was requested."""
         state = self.owner.driver.state
         now_ms = self.owner.driver.time.now_ms()
         informed = state.informed and _workspaces.takes_keys(state, now_ms)
         if informed and not self.owner.stopping:
             return _answers.json_response({'ready': True})
-        return _answers.json_response({'ready': False}, UNAVAILABLE)
+        return _answers.json_response({'ready': False}, SERVICE_UNAVAILABLE)
 
     def status(self) -> web.Response:
-        """What the command ``status`` shows."""
+        """The data for the command ``status``."""
         state = self.owner.driver.state
         return _answers.json_response(
             {
@@ -77,56 +77,56 @@
                 'role': 'gateway',
                 'version': berylhollow.__version__,
                 'failure_domain': self.owner.settings.failure_domain,
-                'revision': revision(state),
+                'revision': current_revision(state),
                 'configuration': dataclasses.asdict(
                     state.follower.status(self.owner.driver.time.now_ms())
                 ),
                 'stopping': self.owner.stopping,
                 'in_flight': self.owner.in_flight,
                 'endpoints': [
-                    _endpoint(name, endpoint)
+                    _endpoint_status(name, endpoint)
                     for name, endpoint in sorted(state.endpoints.items())
                 ],
             }
         )
 
     async def list_models(self) -> web.Response:
-        """The adapter versions that a caller can name."""
-        return _answers.json_body(
+        """The list of all servable adapter versions."""
+        return _answers.raw_json_response(
             await self.models.list(self._configuration())
         )
 
-    def model(self, quoted: str) -> web.Response:
-        """One adapter version."""
-        name = urllib.parse.unquote(quoted)
-        body = self.models.one(self._configuration(), name)
-        return _answers.json_body(body)
+    def get_model(self, quoted_name: str) -> web.Response:
+        """One servable adapter version."""
+        name = urllib.parse.unquote(quoted_name)
+        body = self.models.get_version(self._configuration(), name)
+        return _answers.raw_json_response(body)
 
     def _configuration(self) -> configuration.Configuration | None:
         return self.owner.driver.state.follower.current
 
     def metrics(self) -> web.Response:
-        """The metrics as Prometheus reads them."""
-        return _answers.text_response(self.metrics_text())
+        """The metrics in the Prometheus text format."""
+        return _answers.prometheus_response(self.metrics_text())
 
 
-def revision(state: _state.State) -> int:
-    """Return the revision of the configuration in force, 0 if none is."""
+def current_revision(state: _state.State) -> int:
+    """Return the revision of the current configuration, 0 without one."""
     current = state.follower.current
     return 0 if current is None else current.revision
 
 
-def service_at(state: _state.State, peer: str) -> str:
-    """Return the service of an endpoint, empty if it is not known."""
+def endpoint_service(state: _state.State, peer: str) -> str:
+    """Return the service of an endpoint, empty if it is unknown."""
     endpoint = state.endpoints.get(peer)
     return endpoint.instance.service if endpoint else ''
 
 
 def declared_service(state: _state.State, request: events.Request) -> str:
-    """Return the service of a request, empty if none is declared for it.
+    """Return the service of a request, empty if it is not declared.
 
-    Guards against callers that make names up: each would become a label of
-    the metrics, and their series would fill the memory of the gateway.
+    Names made up by callers must not become labels of metrics: their series
+    would fill the gateway's memory.
     """
     current = state.follower.current
     if current is None:
@@ -135,7 +135,9 @@
     return '' if isinstance(terms, errors.Kind) else terms.service
 
 
-def _endpoint(name: str, endpoint: _state.Endpoint) -> dict[str, object]:
+def _endpoint_status(
+    name: str, endpoint: _state.Endpoint
+) -> dict[str, object]:
     report = endpoint.report
     return {
         'instance': name,
--- a/berylhollow/gateway/_parsing.py
+++ b/berylhollow/gateway/_parsing.py
@@ -1,7 +1,7 @@
-"""Check a caller's request for form and make it an event.
+"""Validate and parse callers' requests.
 
-Everything here fails with a typed error before the request is known to the
-reducer, so a refusal is always a true "not run".
+Every check fails with a typed error before the reducer knows the request,
+so "not run" is always correct for a refused request.
 """
 
 import dataclasses
@@ -28,10 +28,10 @@
 MAXIMUM_DEADLINE_MS = 24 * 60 * 60 * 1000
 MAXIMUM_TOKENS = 10_000_000
 BYTES_PER_TOKEN = 4
-"""Rough size of a token of prompt text; only hints depend on it."""
+"""Approximate size of a token of prompt text; used for hints only."""
 
 DIGEST_BYTES = 16
-PREFIX_BYTES = 8
+ID_PREFIX_BYTES = 8
 
 HTTP_SCHEME = 'http://'
 MODEL_PATHS = frozenset({'/v1/chat/completions', '/v1/completions'})
@@ -41,15 +41,15 @@
     {'DELETE', 'GET', 'HEAD', 'OPTIONS', 'PATCH', 'POST', 'PUT'}
 )
 
-# ASCII only: a name goes into logs, metrics and the platform's log.
+# ASCII only: names are written to logs, metrics and the platform's log.
 NAME = re.compile(r'[A-Za-z0-9][A-Za-z0-9._:/@-]{0,127}')
 SERVICE_NAME = re.compile(r'[A-Za-z0-9][A-Za-z0-9._-]{0,127}')
-OPAQUE = re.compile(r'[\x21-\x7e]{1,255}')
+OPAQUE_VALUE = re.compile(r'[\x21-\x7e]{1,255}')
 NUMBER = re.compile(r'[0-9]{1,9}')
 DIGIT = re.compile(r'[0-9]')
 
-# What one connection says about itself, and what is ours to say anew.
-NOT_PASSED_ON = hop_by_hop.HEADERS | {
+# Headers that concern one connection, or that the gateway sets itself.
+NOT_FORWARDED = hop_by_hop.HEADERS | {
     'content-length',
     'expect',
     'host',
@@ -62,8 +62,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallerTerms:
-    """What a caller's headers say about how to treat its request."""
+class RequestOptions:
+    """Caller, key, deadline, priority and service from the headers."""
 
     caller: str
     key: str | None
@@ -74,19 +74,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelCall:
-    """The needed members of the body of a model request."""
+    """The members of a model request's body that the gateway uses."""
 
     adapter: messages.AdapterVersion | None
     prompt_tokens: int
     output_tokens: int
 
 
-PLAIN_CALL = ModelCall(None, 0, 0)
+NO_MODEL_CALL = ModelCall(None, 0, 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """Where a request goes: a path of a model engine, or of a service."""
+    """Destination of a request: a path of a model engine or a service."""
 
     is_model: bool
     service: str
@@ -98,14 +98,14 @@
 
 
 class RequestIds:
-    """Make request ids that no other process and no caller ever makes.
+    """Generates request ids that are unique across processes.
 
-    The id in a caller's own header is never used as identity: two callers
-    that send the same one would get each other's answers.
+    The id in a caller's own header never identifies a request: two callers
+    that send the same id would get each other's answers.
     """
 
     def __init__(self):
-        self.prefix = secrets.token_hex(PREFIX_BYTES)
+        self.prefix = secrets.token_hex(ID_PREFIX_BYTES)
         self.counter = itertools.count(1)
 
     def next(self) -> str:
@@ -114,29 +114,29 @@
 
 def echoed_id(headers) -> str | None:
     """Return the caller's own request id; BAD_HEADER if it is malformed."""
-    return _header(headers, REQUEST_ID_HEADER, OPAQUE)
+    return _single_header(headers, REQUEST_ID_HEADER, OPAQUE_VALUE)
 
 
-def caller_terms(headers, default_deadline_ms: int) -> CallerTerms:
-    """Return what the headers ask for; BAD_HEADER if one is malformed."""
-    deadline = _header(headers, DEADLINE_HEADER, NUMBER)
+def request_options(headers, default_deadline_ms: int) -> RequestOptions:
+    """Parse the headers for the gateway; BAD_HEADER if one is malformed."""
+    deadline = _single_header(headers, DEADLINE_HEADER, NUMBER)
     deadline_ms = default_deadline_ms if deadline is None else int(deadline)
     if not 1 <= deadline_ms <= MAXIMUM_DEADLINE_MS:
         raise _bad_header(DEADLINE_HEADER)
-    return CallerTerms(
-        caller=_header(headers, CALLER_HEADER, NAME) or ANONYMOUS,
-        key=_header(headers, KEY_HEADER, OPAQUE),
+    return RequestOptions(
+        caller=_single_header(headers, CALLER_HEADER, NAME) or ANONYMOUS,
+        key=_single_header(headers, KEY_HEADER, OPAQUE_VALUE),
         deadline_ms=deadline_ms,
-        priority=int(_header(headers, PRIORITY_HEADER, DIGIT) or 0),
-        service=_header(headers, SERVICE_HEADER, SERVICE_NAME) or '',
+        priority=int(_single_header(headers, PRIORITY_HEADER, DIGIT) or 0),
+        service=_single_header(headers, SERVICE_HEADER, SERVICE_NAME) or '',
     )
 
 
-def _header(headers, name: str, pattern: re.Pattern) -> str | None:
+def _single_header(headers, name: str, pattern: re.Pattern) -> str | None:
     values = headers.getall(name, ())
     if not values:
         return None
-    # Of two values, a balancer may heed one and an endpoint the other.
+    # Given two values, a load balancer may use one and an endpoint the other.
     if len(values) > 1 or not pattern.fullmatch(values[0]):
         raise _bad_header(name)
     return values[0]
@@ -148,28 +148,29 @@
     )
 
 
-def passed_headers(headers) -> tuple[messages.Header, ...]:
-    """Return the headers that go on to the endpoint, in their order.
+def forwarded_headers(headers) -> tuple[messages.Header, ...]:
+    """Return the headers to forward to the endpoint, in their order.
 
-    A header that ``Connection`` names concerns the connection only.
+    Headers named by ``Connection`` concern the connection only and are
+    dropped.
     """
-    dropped = NOT_PASSED_ON
-    named = headers.getall('Connection', ())
-    if named:
-        dropped = dropped | hop_by_hop.named_by(named)
-    passed = []
+    dropped = NOT_FORWARDED
+    connection_values = headers.getall('Connection', ())
+    if connection_values:
+        dropped = dropped | hop_by_hop.named_by(connection_values)
+    forwarded = []
     for name, value in headers.items():
         if name.lower() in dropped:
             continue
         if not value.isascii():
-            _check_text(name, value)
-        passed.append(messages.Header(name, value))
-    return tuple(passed)
+            _check_encodable(name, value)
+        forwarded.append(messages.Header(name, value))
+    return tuple(forwarded)
 
 
-def _check_text(name: str, value: str) -> None:
-    # The HTTP library turns bytes that are no UTF-8 into lone surrogates,
-    # on which the codec of our links would fail.
+def _check_encodable(name: str, value: str) -> None:
+    # The HTTP library decodes bytes that are not UTF-8 to lone surrogates,
+    # which the codec of the links can't encode.
     try:
         value.encode()
     except UnicodeEncodeError:
@@ -188,32 +189,34 @@
         )
 
 
-def model_call(body: bytes) -> ModelCall:
-    """Return the needed members of a JSON body, which is parsed just once.
+def parse_model_call(body: bytes) -> ModelCall:
+    """Parse the JSON body of a model request.
 
     Raises MALFORMED_JSON and BAD_REQUEST.
     """
-    members = _parse(body)
+    members = _parse_json(body)
     if not isinstance(members, dict):
-        raise _bad('The body must be a JSON object.')
+        raise _bad_request('The body must be a JSON object.')
     model = members.get('model')
     if not isinstance(model, str):
-        raise _bad('The member model must be a string.')
+        raise _bad_request('The member model must be a string.')
     limit = members.get('max_completion_tokens')
     if limit is None:
         limit = members.get('max_tokens')
     return ModelCall(
-        _adapter(model), _prompt_tokens(members), _output_tokens(limit)
+        _parse_adapter(model),
+        _estimate_prompt_tokens(members),
+        _parse_output_tokens(limit),
     )
 
 
-def _parse(body: bytes) -> typing.Any:
-    # Guards against {"model": "a@1", "model": "b@1"}: we would read one name
-    # and the engine might read the other. A plain parse keeps the last one
-    # without a word. The name can also be written with escapes, so only a
-    # body that can't hold it twice is spared the slower parse.
-    once = body.count(b'"model"') <= 1 and b'\\u' not in body
-    hook = None if once else _unique_members
+def _parse_json(body: bytes) -> typing.Any:
+    # In {"model": "a@1", "model": "b@1"} the gateway would read one name and
+    # the engine might read the other: json.loads silently keeps the last.
+    # The key can also be written with escapes, so the slower check for
+    # duplicates is skipped only for bodies that can't contain it twice.
+    has_one_model = body.count(b'"model"') <= 1 and b'\\u' not in body
+    hook = None if has_one_model else _unique_members
     try:
         return json.loads(body.decode(), object_pairs_hook=hook)
     except (ValueError, RecursionError) as error:
@@ -223,42 +226,42 @@
 def _unique_members(pairs: list[tuple[str, typing.Any]]) -> dict:
     members = dict(pairs)
     if len(members) != len(pairs):
-        raise _bad('The body has a member twice.')
+        raise _bad_request('The body has a member twice.')
     return members
 
 
-def _adapter(model: str) -> messages.AdapterVersion | None:
+def _parse_adapter(model: str) -> messages.AdapterVersion | None:
     """Return the adapter that ``model`` names, None for a base model."""
     if not NAME.fullmatch(model):
-        raise _bad('The member model is not a valid name.')
+        raise _bad_request('The member model is not a valid name.')
     name, at, version = model.rpartition('@')
     if not at:
         return None
     if not name or not version:
-        raise _bad('The member model must be adapter@version.')
+        raise _bad_request('The member model must be adapter@version.')
     return messages.AdapterVersion(name, version)
 
 
-def _output_tokens(limit: typing.Any) -> int:
+def _parse_output_tokens(limit: typing.Any) -> int:
     if limit is None:
         return 0
     if type(limit) is not int or not 0 <= limit <= MAXIMUM_TOKENS:
-        raise _bad('The limit of tokens is not a valid number.')
+        raise _bad_request('The limit of tokens is not a valid number.')
     return limit
 
 
-def _prompt_tokens(members: dict) -> int:
-    """Return a rough count of the prompt's tokens, a hint for placement."""
-    size = _length(members.get('prompt'))
-    chat = members.get('messages')
-    if isinstance(chat, list):
-        for message in chat:
+def _estimate_prompt_tokens(members: dict) -> int:
+    """Estimate the prompt's number of tokens, a hint for placement."""
+    size = _text_length(members.get('prompt'))
+    chat_messages = members.get('messages')
+    if isinstance(chat_messages, list):
+        for message in chat_messages:
             if isinstance(message, dict):
-                size += _length(message.get('content'))
+                size += _text_length(message.get('content'))
     return -(-size // BYTES_PER_TOKEN)
 
 
-def _length(text: typing.Any) -> int:
+def _text_length(text: typing.Any) -> int:
     if isinstance(text, str):
         return len(text)
     if not isinstance(text, list):
@@ -274,14 +277,14 @@
     return size
 
 
-def _bad(message: str) -> errors.BerylhollowError:
+def _bad_request(message: str) -> errors.BerylhollowError:
     return errors.BerylhollowError(errors.Kind.BAD_REQUEST, message)
 
 
 def origin_form(raw_path: str) -> str:
     """Return the path and query of a request target.
 
-    A client that takes the gateway for a proxy sends the whole URL, which
+    A client that uses the gateway as a proxy sends the absolute URL, which
     HTTP/1.1 servers have to accept.
     """
     if not raw_path.startswith(HTTP_SCHEME):
@@ -290,10 +293,10 @@
     return f'/{path}'
 
 
-def target(raw_path: str) -> Target | None:
-    """Return where a request goes, None if it is not passed on.
+def parse_target(raw_path: str) -> Target | None:
+    """Return the target of a path, None if it is not forwarded.
 
-    Raises BAD_REQUEST for the path of a service that is not valid.
+    Raises BAD_REQUEST for an invalid service path.
     """
     path = raw_path.partition('?')[0]
     if path in MODEL_PATHS:
@@ -302,18 +305,18 @@
         return None
     service, _, tail = raw_path[len(SERVICES_PREFIX) :].partition('/')
     if not SERVICE_NAME.fullmatch(service) or not tail.isascii():
-        raise _bad('The path is not valid.')
+        raise _bad_request('The path is not valid.')
     _check_segments(tail)
     return Target(False, service, f'/{tail}')
 
 
 def _check_segments(path: str) -> None:
-    # A dot segment would be resolved by some program further on, to a path
-    # that this request did not show.
-    plain = path.partition('?')[0].lower().replace('%2e', '.')
-    segments = plain.replace('\\', '/').replace('%2f', '/').split('/')
+    # A later program might resolve a dot segment, to a path other than the
+    # one that was checked here.
+    normalized = path.partition('?')[0].lower().replace('%2e', '.')
+    segments = normalized.replace('\\', '/').replace('%2f', '/').split('/')
     if '.' in segments or '..' in segments:
-        raise _bad('The path has a dot segment.')
+        raise _bad_request('The path has a dot segment.')
 
 
 def fingerprint(
@@ -323,10 +326,10 @@
     adapter: messages.AdapterVersion | None,
     body: bytes,
 ) -> str:
-    """Return the digest that tells whether two requests are the same.
+    """Return a digest that is equal for identical requests.
 
-    Each part but the last goes in with its length, so that no two requests
-    share the digested bytes.
+    Each part but the last is prefixed with its length, so that different
+    requests never have the same digest input.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     name = adapter.adapter if adapter else ''
@@ -339,33 +342,33 @@
     return digest.hexdigest()
 
 
-def build(
+def build_request(
     request_id: str,
-    terms: CallerTerms,
-    goal: Target,
+    options: RequestOptions,
+    target: Target,
     method: str,
     headers: tuple[messages.Header, ...],
     body: bytes,
 ) -> events.Request:
-    """Return the request as the reducer takes it.
+    """Build the request for the reducer.
 
     Raises MALFORMED_JSON and BAD_REQUEST for the body of a model request.
     """
-    call = model_call(body) if goal.is_model else PLAIN_CALL
-    service = goal.service or terms.service
+    call = parse_model_call(body) if target.is_model else NO_MODEL_CALL
+    service = target.service or options.service
     return events.Request(
         request_id=request_id,
-        caller=terms.caller,
+        caller=options.caller,
         service=service,
         adapter=call.adapter,
-        key=terms.key,
-        priority=terms.priority,
-        deadline_ms=terms.deadline_ms,
+        key=options.key,
+        priority=options.priority,
+        deadline_ms=options.deadline_ms,
         fingerprint=fingerprint(
-            service, method, goal.path, call.adapter, body
+            service, method, target.path, call.adapter, body
         ),
         method=method,
-        path=goal.path,
+        path=target.path,
         headers=headers,
         body=body,
         prompt_tokens=call.prompt_tokens,
--- a/berylhollow/gateway/_relay.py
+++ b/berylhollow/gateway/_relay.py
@@ -1,4 +1,4 @@
-"""Pass the answer of one attempt from its link to its caller."""
+"""Relay the answer of one attempt from its link to its caller."""
 
 import asyncio
 import collections
@@ -9,33 +9,33 @@
 from berylhollow import stream
 
 MAXIMUM_PENDING_BYTES = 4 * 1024 * 1024
-"""More than any sidecar may send unacknowledged; beyond it one is broken."""
+"""More than a sidecar may send unacknowledged: one that does is faulty."""
 
-END_OF_PART = b'\n\n'
+EVENT_SEPARATOR = b'\n\n'
 
 Frame = messages.Data | messages.End
 Send = typing.Callable[[str, messages.Message], None]
 
 
 class OverrunError(stream.StreamError):
-    """The peer sent more than it may without an acknowledgement."""
+    """The peer sent more than allowed without an acknowledgement."""
 
 
 class Sink(typing.Protocol):
     """The caller's side of an answer."""
 
     def put(self, payload: bytes) -> bool:
-        """Write a payload; False if no more is taken for now."""
+        """Write a payload; False if the connection's buffer is full."""
 
 
 class Relay:
-    """The frames of one attempt on their way to the caller.
+    """Relays the frames of one attempt to the caller.
 
-    While the caller's connection takes them, payloads go straight through:
-    no task wakes for a token. Once it takes no more, the relay is
-    ``blocked``, keeps what comes and wakes the task in ``wait``. A payload
-    is acknowledged only when the connection has taken it, so that a slow
-    caller slows down its own endpoint's answer and nothing else.
+    While the caller's connection accepts data, payloads are written at once,
+    without waking a task for each token. When its buffer is full, the relay
+    is ``blocked``, buffers further payloads and wakes the task in ``wait``.
+    A payload is acknowledged only after the connection has taken it, so that
+    a slow caller slows down only its own answer.
     """
 
     def __init__(self, begin: effects.BeginAnswer, send: Send):
@@ -49,55 +49,55 @@
         self.parts = 0
         self.complete = False
         self.failure: effects.BreakAnswer | None = None
-        self.resumed_at: int | None = None
+        self.resumed_from: int | None = None
         self._waiter: asyncio.Future | None = None
 
-    def open(self, sink: Sink) -> None:
-        """Let payloads go to the caller, beginning with those that wait."""
+    def attach(self, sink: Sink) -> None:
+        """Write payloads to ``sink``, starting with the buffered ones."""
         self.sink = sink
-        self._flow()
+        self._write_pending()
 
     def accept(self, frame: Frame) -> bool:
-        """Take a frame; False if earlier ones have to come first.
+        """Handle a frame; False if earlier frames are missing.
 
-        Raises StreamError if this answer can't become whole any more.
+        Raises StreamError if the answer can't be completed any more.
         """
         try:
             payload = self.receiver.accept(frame)
         except stream.GapError:
-            self._ask_again()
+            self._request_missing_frames()
             return False
         if payload is None:
             return True
         if self.sink is None or self.blocked:
-            self._keep(payload)
+            self._buffer(payload)
         else:
-            self._pass(payload)
+            self._write(payload)
         return True
 
-    def _ask_again(self) -> None:
-        # After a reconnect the sidecar may go on with new frames before it
-        # hears where we stopped. One question for each gap is enough; the
-        # frames that follow would raise a storm of them.
-        missing = self.receiver.next_sequence
-        if self.resumed_at != missing:
+    def _request_missing_frames(self) -> None:
+        # After a reconnect the sidecar may send new frames before it learns
+        # which ones arrived. Each gap is requested once: a request for each
+        # frame that follows would flood the link.
+        first_missing = self.receiver.next_sequence
+        if self.resumed_from != first_missing:
             self.resume()
 
     def resume(self) -> None:
-        """Ask the sidecar for everything that has not arrived."""
-        self.resumed_at = self.receiver.next_sequence
+        """Ask the sidecar to resend the frames that have not arrived."""
+        self.resumed_from = self.receiver.next_sequence
         self.send(self.begin.peer, self.receiver.resume())
 
     def finish(self, count: int) -> None:
         """Complete the answer; raises StreamError if frames are missing."""
         self.receiver.accept(messages.End(self.begin.attempt_id, count))
         self.complete = True
-        self._wake()
+        self._wake_waiter()
 
     def fail(self, effect: effects.BreakAnswer) -> None:
-        """End the answer as broken, after what was passed on."""
+        """End the answer as broken, after the payloads already written."""
         self.failure = effect
-        self._wake()
+        self._wake_waiter()
 
     async def wait(self) -> None:
         """Return when the answer is complete, has failed or is blocked."""
@@ -106,40 +106,42 @@
             await self._waiter
 
     def unblock(self) -> None:
-        """Go on: the connection has taken what it was given."""
+        """Continue after the connection has taken the last payload."""
         self.blocked = False
         self.acknowledge(1)
-        self._flow()
+        self._write_pending()
 
     def acknowledge(self, frames: int) -> None:
-        """Note that the connection took ``frames`` more, and say so if due."""
+        """Count ``frames`` as taken; send an acknowledgement if one is due."""
         self.receiver.consumed(frames)
         acknowledgement = self.receiver.acknowledgement()
         if acknowledgement is not None:
             self.send(self.begin.peer, acknowledgement)
 
-    def _flow(self) -> None:
+    def _write_pending(self) -> None:
         while self.pending and not self.blocked:
             payload = self.pending.popleft()
             self.pending_bytes -= len(payload)
-            self._pass(payload)
+            self._write(payload)
 
-    def _pass(self, payload: bytes) -> None:
-        # Parts of an event stream are counted, never parsed: about one a
-        # token, for the log line.
-        self.parts += payload.count(END_OF_PART)
+    def _write(self, payload: bytes) -> None:
+        # Events of an event stream, about one per token, are counted for the
+        # log line without parsing them.
+        self.parts += payload.count(EVENT_SEPARATOR)
         if self.sink.put(payload):
             self.acknowledge(1)
         else:
             self.blocked = True
-            self._wake()
+            self._wake_waiter()
 
-    def _keep(self, payload: bytes) -> None:
+    def _buffer(self, payload: bytes) -> None:
         self.pending.append(payload)
         self.pending_bytes += len(payload)
         if self.pending_bytes > MAXIMUM_PENDING_BYTES:
-            raise OverrunError(f'{self.begin.attempt_id}: overrun')
+            raise OverrunError(
+                f'{self.begin.attempt_id}: too many unacknowledged bytes'
+            )
 
-    def _wake(self) -> None:
+    def _wake_waiter(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
--- a/berylhollow/gateway/_responding.py
+++ b/berylhollow/gateway/_responding.py
@@ -1,8 +1,8 @@
-"""Write the answer of one exchange to its caller, whole or visibly broken.
+"""Write the answer of one exchange to its caller.
 
-What a caller must never get is an answer that was cut short and looks
-whole. A body therefore has a length or is chunked, and one that can't be
-completed ends with the connection, without the last chunk.
+A truncated answer must never look complete to its caller. A body therefore
+has a length or is chunked, and if it can't be completed the connection is
+closed without the last chunk.
 """
 
 import asyncio
@@ -20,104 +20,106 @@
 from berylhollow.gateway import _exchange
 from berylhollow.gateway import _relay
 
-STORED_ANSWER_BYTES = 16 * 1024
-"""Answers up to this size are kept for a request with a key."""
+MAX_STORED_ANSWER_BYTES = 16 * 1024
+"""Answers up to this size are stored for requests with an idempotency key."""
 
 ERROR_FLUSH_TIMEOUT_S = 1.0
-"""How long a caller may take to receive the error that ends its stream."""
+"""Time limit to write the error event that ends a broken stream."""
 
-ELSEWHERE_KINDS = frozenset({errors.Kind.KEY_UNPROVEN})
-"""Another gateway may well serve the caller, whose next request on the same
-connection would meet this one again."""
+OTHER_GATEWAY_KINDS = frozenset({errors.Kind.KEY_UNPROVEN})
+"""Errors that close the connection: another gateway may be able to serve the
+caller, whose next request on this connection would reach this one again."""
 
-BODILESS_STATUSES = frozenset({204, 304})
+NO_BODY_STATUSES = frozenset({204, 304})
 
 
 class StalledError(Exception):
-    """The caller took nothing of its answer for too long."""
+    """The caller read nothing of its answer for too long."""
 
 
-class Reports(typing.Protocol):
-    """What the writer of an answer reports to the shell."""
+class AnswerListener(typing.Protocol):
+    """Callbacks for the progress of answers, implemented by the shell."""
 
     def now_ms(self) -> int:
-        """Return the time."""
+        """Return the current time."""
 
-    def relayed(
+    def answer_relayed(
         self, exchange: _exchange.Exchange, body: bytes | None
     ) -> None:
-        """The caller's connection took the whole answer."""
+        """The complete answer was written to the caller's connection."""
 
-    def broken(self, exchange: _exchange.Exchange) -> None:
-        """The answer can't be whole, though its frames are complete."""
+    def answer_broken(self, exchange: _exchange.Exchange) -> None:
+        """All frames arrived, but not the declared length of the body."""
 
 
-def whole_answer(
+def complete_response(
     exchange: _exchange.Exchange,
-    beginning: effects.AnswerError | effects.AnswerStored,
+    answer_start: effects.AnswerError | effects.AnswerStored,
     dialect: _dialect.Dialect,
 ) -> web.Response:
-    """Return an answer that is known as a whole."""
-    if isinstance(beginning, effects.AnswerStored):
-        exchange.status = beginning.status
+    """Return the response for a stored answer or an error."""
+    if isinstance(answer_start, effects.AnswerStored):
+        exchange.status = answer_start.status
         exchange.ran = errors.Ran.RAN
-        headers = dialect.relayed_headers(beginning.headers, exchange.shown_id)
+        headers = dialect.relayed_headers(
+            answer_start.headers, exchange.shown_id
+        )
         return web.Response(
-            status=beginning.status,
-            headers=_with_length(headers, len(beginning.body)),
-            body=beginning.body,
+            status=answer_start.status,
+            headers=_with_content_length(headers, len(answer_start.body)),
+            body=answer_start.body,
         )
-    exchange.failed(beginning.kind, beginning.ran)
+    exchange.record_failure(answer_start.kind, answer_start.ran)
     response = dialect.error_response(
-        beginning.kind,
-        beginning.ran,
+        answer_start.kind,
+        answer_start.ran,
         exchange.shown_id,
-        beginning.retry_after_ms,
-        beginning.detail,
+        answer_start.retry_after_ms,
+        answer_start.detail,
     )
     exchange.status = response.status
-    if beginning.kind in ELSEWHERE_KINDS:
+    if answer_start.kind in OTHER_GATEWAY_KINDS:
         response.force_close()
     return response
 
 
-def _with_length(headers, length: int) -> multidict.CIMultiDict:
-    kept = multidict.CIMultiDict(headers)
-    kept['Content-Length'] = str(length)
-    return kept
+def _with_content_length(headers, length: int) -> multidict.CIMultiDict:
+    result = multidict.CIMultiDict(headers)
+    result['Content-Length'] = str(length)
+    return result
 
 
 class RelayedAnswer:
-    """One answer that is written while its frames arrive."""
+    """An answer that is written to its caller while its frames arrive."""
 
     def __init__(
         self,
         request: web.BaseRequest,
         exchange: _exchange.Exchange,
         relay: _relay.Relay,
-        reports: Reports,
+        listener: AnswerListener,
         dialect: _dialect.Dialect,
-        stall_timeout: float,
-        last: bool,
+        stall_timeout_s: float,
+        close_connection: bool,
     ):
         self.request = request
         self.exchange = exchange
         self.relay = relay
-        self.reports = reports
+        self.listener = listener
         self.dialect = dialect
-        self.stall_timeout = stall_timeout
-        self.response = self._response(last)
-        self.length = self.response.content_length
-        self.bodiless = (
-            request.method == 'HEAD' or relay.begin.status in BODILESS_STATUSES
+        self.stall_timeout_s = stall_timeout_s
+        self.response = self._make_response(close_connection)
+        self.declared_length = self.response.content_length
+        self.has_no_body = (
+            request.method == 'HEAD' or relay.begin.status in NO_BODY_STATUSES
         )
         self.writer: abc.AbstractStreamWriter | None = None
-        self.written = 0
-        self.kept: list[bytes] | None = None
+        self.written_bytes = 0
+        self.stored_parts: list[bytes] | None = None
         if exchange.request.key is not None:
-            self.kept = []
+            self.stored_parts = []
 
-    def _response(self, last: bool) -> web.StreamResponse:
+    def _make_response(self, close_connection: bool) -> web.StreamResponse:
         begin = self.relay.begin
         headers = self.dialect.relayed_headers(
             begin.headers, self.exchange.shown_id
@@ -125,75 +127,79 @@
         response = web.StreamResponse(
             status=begin.status, headers=multidict.CIMultiDict(headers)
         )
-        if last:
+        if close_connection:
             response.force_close()
         return response
 
     async def write(self) -> web.StreamResponse:
         """Write the answer to its end.
 
-        Raises StalledError if the caller takes nothing for too long, and
-        ConnectionError if it is gone.
+        Raises StalledError if the caller reads nothing for too long, and
+        ConnectionError if it has disconnected.
         """
         relay = self.relay
         self.exchange.status = relay.begin.status
         self.writer = await self.response.prepare(self.request)
-        relay.open(self)
+        relay.attach(self)
         await relay.wait()
         while relay.blocked and relay.failure is None:
-            await self._drain(self.stall_timeout)
+            await self._drain(self.stall_timeout_s)
             relay.unblock()
             await relay.wait()
         if relay.failure is not None:
-            await self._break(relay.failure.kind, relay.failure.ran)
-        elif not self._whole():
-            self.reports.broken(self.exchange)
-            await self._break(errors.Kind.STREAM_BROKEN, errors.Ran.UNKNOWN)
+            await self._break_answer(relay.failure.kind, relay.failure.ran)
+        elif not self._has_declared_length():
+            self.listener.answer_broken(self.exchange)
+            await self._break_answer(
+                errors.Kind.STREAM_BROKEN, errors.Ran.UNKNOWN
+            )
         else:
             await self._finish()
         return self.response
 
     def put(self, payload: bytes) -> bool:
-        """Write a payload; False if the connection takes no more for now."""
+        """Write a payload; False if the connection's buffer is full."""
         if self.exchange.first_byte_ms is None:
-            self.exchange.first_byte_ms = self.reports.now_ms()
-        self.written += len(payload)
-        if self.kept is not None:
-            self._keep(payload)
-        if self.bodiless:
+            self.exchange.first_byte_ms = self.listener.now_ms()
+        self.written_bytes += len(payload)
+        if self.stored_parts is not None:
+            self._store_part(payload)
+        if self.has_no_body:
             return True
         try:
-            _now(self.writer.write(payload, drain=False))
+            _run_without_waiting(self.writer.write(payload, drain=False))
         except ConnectionError:
-            # The task that waits for this answer hears of it when it drains.
+            # The task that runs ``write`` gets the error when it drains.
             return False
         return not self.request.protocol.writing_paused
 
-    def _keep(self, data: bytes) -> None:
-        self.kept.append(data)
-        if self.written > STORED_ANSWER_BYTES:
-            self.kept = None
+    def _store_part(self, data: bytes) -> None:
+        self.stored_parts.append(data)
+        if self.written_bytes > MAX_STORED_ANSWER_BYTES:
+            self.stored_parts = None
 
-    def _whole(self) -> bool:
-        """Tell whether the body has the length that its head declares."""
-        if self.bodiless or self.length is None:
+    def _has_declared_length(self) -> bool:
+        """Return whether the body has the length its head declares."""
+        if self.has_no_body or self.declared_length is None:
             return True
-        return self.written == self.length
+        return self.written_bytes == self.declared_length
 
     async def _finish(self) -> None:
         await self.response.write_eof()
         self.relay.acknowledge(0)
-        await self._flush(self.stall_timeout)
+        await self._flush(self.stall_timeout_s)
         self.exchange.ran = errors.Ran.RAN
-        body = None if self.kept is None else b''.join(self.kept)
-        self.reports.relayed(self.exchange, body)
+        body = (
+            None if self.stored_parts is None else b''.join(self.stored_parts)
+        )
+        self.listener.answer_relayed(self.exchange, body)
 
-    async def _break(self, kind: errors.Kind, ran: errors.Ran) -> None:
-        """Cut the connection, after an error event if it is a stream.
+    async def _break_answer(self, kind: errors.Kind, ran: errors.Ran) -> None:
+        """Abort the connection, after an error event if it is a stream.
 
-        The last chunk is never sent: it would make the answer look whole.
+        The last chunk is not sent: the answer would look complete.
         """
-        self.exchange.failed(kind, ran)
+        self.exchange.record_failure(kind, ran)
         self.response.force_close()
         try:
             is_stream = (
@@ -206,13 +212,13 @@
         except (StalledError, ConnectionError):
             pass
         finally:
-            abort(self.request)
+            abort_connection(self.request)
 
     async def _flush(self, timeout: float) -> None:
-        """Wait until the transport holds nothing more of the answer.
+        """Wait until the transport's write buffer is empty.
 
-        Guards against callers that stop reading near the end: the library
-        would keep the connection and its buffer for as long as they like.
+        If a caller stops reading near the end of its answer, the library
+        would otherwise keep the connection and its buffer without limit.
         """
         transport = self.request.transport
         if transport is None or transport.get_write_buffer_size() == 0:
@@ -225,38 +231,39 @@
             transport.set_write_buffer_limits(high=high, low=low)
 
     async def _drain(self, timeout: float) -> None:
-        """Wait until the transport takes more.
+        """Wait until the transport accepts more data.
 
-        Raises StalledError when nothing at all left within ``timeout``
-        seconds.
+        Raises StalledError if no byte was sent within ``timeout`` seconds.
         """
         transport = self.request.transport
         while True:
-            left = transport.get_write_buffer_size() if transport else 0
+            unsent_bytes = (
+                transport.get_write_buffer_size() if transport else 0
+            )
             try:
                 async with asyncio.timeout(timeout):
                     await self.writer.drain()
                     return
             except TimeoutError:
-                if transport.get_write_buffer_size() >= left:
+                if transport.get_write_buffer_size() >= unsent_bytes:
                     raise StalledError from None
 
 
-def _now(coroutine: collections.abc.Coroutine) -> None:
-    """Run a coroutine that has nothing to wait for to its end.
+def _run_without_waiting(coroutine: collections.abc.Coroutine) -> None:
+    """Run a coroutine that never waits to its end.
 
-    The library's way to write a chunk is a coroutine that waits only if it
-    is asked to. Run here, it spares a task switch for each token.
+    The library writes a chunk with a coroutine that waits only for a drain.
+    Running it here avoids a task switch for each token.
     """
     try:
         coroutine.send(None)
     except StopIteration:
         return
     coroutine.close()
-    raise RuntimeError('the library waited')
+    raise RuntimeError('the coroutine had to wait')
 
 
-def abort(request: web.BaseRequest) -> None:
-    """Cut the connection of a request at once."""
+def abort_connection(request: web.BaseRequest) -> None:
+    """Abort the connection of a request."""
     if request.transport is not None:
         request.transport.abort()
--- a/berylhollow/gateway/_shell.py
+++ b/berylhollow/gateway/_shell.py
@@ -1,7 +1,7 @@
-"""The gateway's shell: it turns I/O into events and carries effects out.
+"""The gateway's shell: turns I/O into events and carries out effects.
 
-It takes no decision. The payloads of answers pass it without the reducer:
-from the link of an attempt through a relay to the caller.
+All decisions are made by the reducer. The payloads of answers bypass the
+reducer: they go from the link of an attempt through a relay to the caller.
 """
 
 import asyncio
@@ -32,19 +32,19 @@
 LOG = logging.getLogger(__name__)
 
 INCARNATION_BYTES = 8
-DURATION = 'http.server.request.duration'
-FIRST_TOKEN = 'berylhollow.first_token.duration'
+REQUEST_DURATION = 'http.server.request.duration'
+FIRST_TOKEN_DURATION = 'berylhollow.first_token.duration'
 
-Count = typing.Callable[..., None]
+AddMetric = typing.Callable[..., None]
 
 
 class Shell:
     """All I/O of one gateway around one reducer.
 
-    ``exchanges`` holds the requests that still wait for an answer by
-    request id, ``relays`` the answers under way by attempt id. ``ended`` is
-    set to the exit code when the reducer has nothing more to do. ``count``
-    takes the name, value and attributes of metrics.
+    ``exchanges`` maps request ids to the requests without a complete answer
+    yet, ``relays`` maps attempt ids to the answers being relayed. ``ended``
+    is set to the exit code when the reducer has nothing more to do.
+    ``count`` takes the name, value and attributes of a metric.
     """
 
     def __init__(
@@ -52,14 +52,16 @@
         settings: all_settings.GatewaySettings,
         reduce: typing.Callable,
         state: typing.Any,
-        count: Count,
+        count: AddMetric,
         metrics_text: typing.Callable[[], bytes],
         time: clock.Clock | None = None,
         surroundings: _surroundings.Surroundings | None = None,
     ):
         self.settings = settings
-        around = surroundings or _surroundings.own(settings)
-        self.last_answers_s = around.last_answers_ms / clock.MS_PER_SECOND
+        environment = surroundings or _surroundings.own(settings)
+        self.last_answers_timeout_s = (
+            environment.last_answers_ms / clock.MS_PER_SECOND
+        )
         self.time = time or clock.MonotonicClock()
         self.pages = _pages.Pages(self, metrics_text)
         self.count = count
@@ -70,51 +72,55 @@
         self.tasks = shell.Tasks()
         self.ended: asyncio.Future[int] = asyncio.Future()
         self.driver = shell.Driver(reduce, state, self.time, {})
-        self.driver.failed.add_done_callback(self._failed)
+        self.driver.failed.add_done_callback(self._on_driver_failed)
         self.feed = self.driver.feed
         self.platform = shell.PlatformCalls(
-            around.log,
-            around.instances,
+            environment.log,
+            environment.instances,
             self.feed,
             self.time,
             self.tasks,
-            around.shared_log and around.shared_log.source,
+            environment.shared_log and environment.shared_log.source,
         )
-        self.shared_log = around.shared_log
+        self.shared_log = environment.shared_log
         if self.shared_log is not None:
-            self.shared_log.publish = self._part_read
+            self.shared_log.publish = self._on_stream_part_read
             self.shared_log.has_listeners = self._has_relays
         self.links = _links.Links(
-            settings, self.incarnation, self.time, self, around.link_options
+            settings,
+            self.incarnation,
+            self.time,
+            self,
+            environment.link_options,
         )
         self.runs: _direct_runs.DirectRuns | None = None
-        if around.endpoint_calls is not None:
+        if environment.endpoint_calls is not None:
             self.runs = _direct_runs.DirectRuns(
-                around.endpoint_calls, self, self.tasks
+                environment.endpoint_calls, self, self.tasks
             )
-        self.front_end = _http.FrontEnd(settings, self, around.dialect)
+        self.front_end = _http.FrontEnd(settings, self, environment.dialect)
         self.driver.handlers = self._handlers()
 
     def _handlers(self) -> dict:
         return {
-            effects.Send: self._send,
+            effects.Send: self._send_message,
             effects.OpenLink: self.links.open,
             effects.CloseLink: self.links.close,
-            effects.AnswerError: self._begin_whole,
-            effects.AnswerStored: self._begin_whole,
+            effects.AnswerError: self._begin_complete_answer,
+            effects.AnswerStored: self._begin_complete_answer,
             effects.BeginAnswer: self._begin_relay,
-            effects.CompleteAnswer: self._complete,
-            effects.BreakAnswer: self._break,
-            effects.ResumeAnswer: self._resume,
+            effects.CompleteAnswer: self._complete_answer,
+            effects.BreakAnswer: self._break_answer,
+            effects.ResumeAnswer: self._resume_answer,
             effects.Count: self._count,
             effects.Log: shell.write_log,
             effects.Exit: self._exit,
-            effects.TakeStreamPart: self._take_part,
+            effects.TakeStreamPart: self._take_stream_part,
             **self.platform.handlers(),
         }
 
     async def start(self) -> None:
-        """Listen, and begin to follow the platform. Raises OSError."""
+        """Start listening and following the platform. Raises OSError."""
         await self.links.start()
         await self.front_end.start()
         ports = {
@@ -128,11 +134,10 @@
     async def stop(self) -> int:
         """Stop gracefully and return the exit code.
 
-        Guards against requests that are cut off by a planned stop. The
-        balancer goes on sending until it has seen that this gateway is not
-        ready; only then the listener closes, and with it the connections
-        on which nothing is under way. Everything in flight is finished; the
-        reducer decides when.
+        A planned stop must not cut off requests. The load balancer keeps
+        sending until it sees that this gateway is not ready; only then the
+        listener and the idle connections are closed. Requests in flight
+        are finished; the reducer decides when to end.
         """
         self.stopping = True
         if not self.ended.done():
@@ -140,17 +145,17 @@
         self.front_end.stop_listening()
         self.feed(events.StopRequested(self.time.now_ms()))
         code = await self.ended
-        await self._last_answers()
+        await self._wait_for_answers()
         await self.close()
         return code
 
     async def notice(self) -> None:
-        """Wait until the balancer has seen that this gateway stops."""
+        """Wait until the load balancer has seen that this gateway stops."""
         notice_ms = self.settings.stop_notice_ms
         await asyncio.sleep(notice_ms / clock.MS_PER_SECOND)
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Close all listeners, tasks, links and connections at once."""
         await self.front_end.close()
         await self.tasks.stop()
         await self.links.stop()
@@ -158,28 +163,28 @@
         if self.runs is not None:
             await self.runs.close()
 
-    async def _last_answers(self) -> None:
-        """Let the answers that are decided reach their callers."""
+    async def _wait_for_answers(self) -> None:
+        """Wait until final answers are written, up to a timeout."""
         try:
-            async with asyncio.timeout(self.last_answers_s):
-                await self.front_end.idle()
+            async with asyncio.timeout(self.last_answers_timeout_s):
+                await self.front_end.wait_until_idle()
         except TimeoutError:
             LOG.warning('callers cut off', extra={'in_flight': self.in_flight})
 
     @property
     def in_flight(self) -> int:
-        """How many requests wait for their answer or for its end."""
+        """Number of requests without a complete answer."""
         return len(self.exchanges)
 
-    # What the front end reports.
+    # Called by the front end.
 
     def now_ms(self) -> int:
         return self.time.now_ms()
 
-    async def page(self, path: str) -> web.Response | None:
+    async def gateway_page(self, path: str) -> web.Response | None:
         return await self.pages.get(path)
 
-    def arrived(self, exchange: _exchange.Exchange) -> None:
+    def request_arrived(self, exchange: _exchange.Exchange) -> None:
         request = exchange.request
         self.exchanges[request.request_id] = exchange
         if self.driver.failed.done():
@@ -191,12 +196,12 @@
             )
         )
 
-    def gone(self, exchange: _exchange.Exchange) -> None:
+    def caller_gone(self, exchange: _exchange.Exchange) -> None:
         self.feed(
             events.CallerGone(self.now_ms(), exchange.request.request_id)
         )
 
-    def relayed(
+    def answer_relayed(
         self, exchange: _exchange.Exchange, body: bytes | None
     ) -> None:
         begin = exchange.relay.begin
@@ -211,10 +216,10 @@
             )
         )
 
-    def broken(self, exchange: _exchange.Exchange) -> None:
-        self._broken(exchange.relay)
+    def answer_broken(self, exchange: _exchange.Exchange) -> None:
+        self._report_broken_answer(exchange.relay)
 
-    def forget(self, exchange: _exchange.Exchange) -> None:
+    def forget_exchange(self, exchange: _exchange.Exchange) -> None:
         self.exchanges.pop(exchange.request.request_id, None)
         if exchange.relay is not None:
             self.relays.pop(exchange.relay.begin.attempt_id, None)
@@ -222,17 +227,17 @@
         service = exchange.service
         if exchange.relay is None:
             service = _pages.declared_service(state, exchange.request)
-            # A refusal belongs to its service too: a report that did not
-            # know it would show an outage as a budget that is whole.
+            # A refused request counts for its service too: otherwise a
+            # report would show an untouched error budget in an outage.
             exchange.service = service or exchange.service
-        exchange.log(self.now_ms(), _pages.revision(state))
-        self._measure(exchange, service)
+        exchange.log(self.now_ms(), _pages.current_revision(state))
+        self._record_metrics(exchange, service)
 
-    def refused(self, kind: errors.Kind) -> None:
+    def request_refused(self, kind: errors.Kind) -> None:
         ran = errors.ANSWERS[kind].ran
         self._count_error('', kind, ran)
 
-    def refused_by_head(
+    def head_refusal(
         self, head: events.RequestHead, shown_id: str
     ) -> _workspaces.Refusal | None:
         now_ms = self.now_ms()
@@ -250,7 +255,9 @@
             )
         return refusal
 
-    def _measure(self, exchange: _exchange.Exchange, service: str) -> None:
+    def _record_metrics(
+        self, exchange: _exchange.Exchange, service: str
+    ) -> None:
         kind = exchange.kind.value if exchange.kind else ''
         attributes = (
             ('http.request.method', exchange.request.method),
@@ -259,12 +266,16 @@
             ('error.type', kind),
         )
         duration_ms = self.now_ms() - exchange.arrived_ms
-        self.count(DURATION, duration_ms / clock.MS_PER_SECOND, attributes)
+        self.count(
+            REQUEST_DURATION, duration_ms / clock.MS_PER_SECOND, attributes
+        )
         if exchange.first_byte_ms is not None:
-            first_ms = exchange.first_byte_ms - exchange.arrived_ms
+            time_to_first_byte_ms = (
+                exchange.first_byte_ms - exchange.arrived_ms
+            )
             self.count(
-                FIRST_TOKEN,
-                first_ms / clock.MS_PER_SECOND,
+                FIRST_TOKEN_DURATION,
+                time_to_first_byte_ms / clock.MS_PER_SECOND,
                 (('berylhollow.service', service),),
             )
         if exchange.kind is not None:
@@ -286,31 +297,33 @@
         self.feed(events.NoticeReceived(self.now_ms(), peer, sent_ms, notice))
 
     def row_of(self, name: str) -> events.Instance | None:
-        """Return what is listed of an endpoint, None if it is unknown."""
+        """Return the listed instance of an endpoint, None if unknown."""
         endpoint = self.driver.state.endpoints.get(name)
         return None if endpoint is None else endpoint.instance
 
-    # What the links report.
+    # Called by the links and the direct runs.
 
     def message(self, peer: str, message: messages.Message) -> None:
         if type(message) is messages.Data:
-            relay = self._relay_of(peer, message)
+            relay = self._relay_for_frame(peer, message)
             if relay is not None:
-                self._accept(relay, message)
+                self._accept_frame(relay, message)
         elif type(message) is messages.End:
-            self._end(peer, message)
+            self._handle_end_frame(peer, message)
         else:
-            self._received(peer, message)
+            self._feed_message(peer, message)
 
-    def _received(self, peer: str, message: messages.Message) -> None:
+    def _feed_message(self, peer: str, message: messages.Message) -> None:
         self.feed(events.MessageReceived(self.now_ms(), peer, message))
 
-    def _relay_of(self, peer: str, frame: _relay.Frame) -> _relay.Relay | None:
-        """Return the relay of a frame; one of no current attempt counts.
+    def _relay_for_frame(
+        self, peer: str, frame: _relay.Frame
+    ) -> _relay.Relay | None:
+        """Return the relay of a frame, None for no current attempt.
 
-        Guards against the frames of an attempt that was given up, or of a
-        peer that was never asked: mixed into an answer they would be part
-        of another one's.
+        Frames of an attempt that was given up, or of a peer that was never
+        asked, would otherwise be mixed into another answer. They are
+        counted as late.
         """
         relay = self.relays.get(frame.attempt_id)
         if relay is None or relay.begin.peer != peer:
@@ -318,21 +331,21 @@
             return None
         return relay
 
-    def _end(self, peer: str, frame: messages.End) -> None:
-        relay = self._relay_of(peer, frame)
-        # An end that came before its frames comes again after them.
-        if relay is not None and self._accept(relay, frame):
-            self._received(peer, frame)
+    def _handle_end_frame(self, peer: str, frame: messages.End) -> None:
+        relay = self._relay_for_frame(peer, frame)
+        # The peer resends an end that arrived before its frames.
+        if relay is not None and self._accept_frame(relay, frame):
+            self._feed_message(peer, frame)
 
-    def _accept(self, relay: _relay.Relay, frame: _relay.Frame) -> bool:
+    def _accept_frame(self, relay: _relay.Relay, frame: _relay.Frame) -> bool:
         try:
             return relay.accept(frame)
         except stream.StreamError as error:
             LOG.warning('answer is broken: %s', error)
-            self._broken(relay)
+            self._report_broken_answer(relay)
             return False
 
-    def _broken(self, relay: _relay.Relay) -> None:
+    def _report_broken_answer(self, relay: _relay.Relay) -> None:
         begin = relay.begin
         self.feed(
             events.AnswerBroken(
@@ -340,19 +353,19 @@
             )
         )
 
-    # Effects.
+    # Effect handlers.
 
-    def _send(self, effect: effects.Send) -> None:
+    def _send_message(self, effect: effects.Send) -> None:
         self._deliver(effect.peer, effect.message)
 
     def _deliver(self, peer: str, message: messages.Message) -> None:
-        """Give a message to the peer: over its link, or as a direct run."""
-        if self.runs is not None and self.runs.takes(message):
+        """Send a message to a peer, over its link or as a direct run."""
+        if self.runs is not None and self.runs.is_attempt_message(message):
             self.runs.take(peer, message)
         else:
             self.links.send(peer, message)
 
-    def _begin_whole(
+    def _begin_complete_answer(
         self, effect: effects.AnswerError | effects.AnswerStored
     ) -> None:
         exchange = self.exchanges.get(effect.request_id)
@@ -366,10 +379,12 @@
         relay = _relay.Relay(effect, self._deliver)
         self.relays[effect.attempt_id] = relay
         exchange.relay = relay
-        exchange.service = _pages.service_at(self.driver.state, effect.peer)
+        exchange.service = _pages.endpoint_service(
+            self.driver.state, effect.peer
+        )
         exchange.begin(effect)
 
-    def _complete(self, effect: effects.CompleteAnswer) -> None:
+    def _complete_answer(self, effect: effects.CompleteAnswer) -> None:
         relay = self.relays.get(effect.attempt_id)
         if relay is None:
             return
@@ -377,27 +392,27 @@
             relay.finish(effect.count)
         except stream.StreamError as error:
             LOG.warning('answer is broken: %s', error)
-            self._broken(relay)
+            self._report_broken_answer(relay)
 
-    def _break(self, effect: effects.BreakAnswer) -> None:
+    def _break_answer(self, effect: effects.BreakAnswer) -> None:
         relay = self.relays.get(effect.attempt_id)
         if relay is not None:
             relay.fail(effect)
 
-    def _resume(self, effect: effects.ResumeAnswer) -> None:
+    def _resume_answer(self, effect: effects.ResumeAnswer) -> None:
         relay = self.relays.get(effect.attempt_id)
         if relay is not None:
             relay.resume()
             return
         self._deliver(effect.peer, messages.Resume(effect.attempt_id, 0))
 
-    def _part_read(self, part: messages.StreamPart) -> None:
+    def _on_stream_part_read(self, part: messages.StreamPart) -> None:
         self.feed(events.StreamPartRead(self.now_ms(), part))
 
     def _has_relays(self) -> bool:
         return bool(self.driver.state.relays)
 
-    def _take_part(self, effect: effects.TakeStreamPart) -> None:
+    def _take_stream_part(self, effect: effects.TakeStreamPart) -> None:
         if self.shared_log is not None:
             self.shared_log.take(effect.part)
 
@@ -408,7 +423,7 @@
         if not self.ended.done():
             self.ended.set_result(effect.code)
 
-    def _failed(self, failed: asyncio.Future) -> None:
+    def _on_driver_failed(self, failed: asyncio.Future) -> None:
         if failed.cancelled():
             return
         self.stopping = True
@@ -420,7 +435,7 @@
     def _answer_failure(
         self, exchange: _exchange.Exchange, ran: errors.Ran
     ) -> None:
-        """Tell a caller that no decision will come for its request."""
+        """Answer INTERNAL: the reducer will not decide on the request."""
         request_id = exchange.request.request_id
         kind = errors.Kind.INTERNAL
         if exchange.relay is None:
--- a/berylhollow/gateway/service.py
+++ b/berylhollow/gateway/service.py
@@ -23,13 +23,13 @@
 Surroundings = _surroundings.Surroundings
 
 STOP_MARGIN_MS = 10_000
-"""Time to close everything after the reducer's own grace has ended."""
+"""Time to close everything after the reducer's stop grace has ended."""
 
 
 def serve(settings: all_settings.GatewaySettings) -> int:
     """Run a gateway until it is told to stop; return its exit code.
 
-    Raises ``exits.UserError`` if a port is taken.
+    Raises ``exits.UserError`` if a port is in use.
     """
     return loop.run(
         lambda lifetime: [GatewayService(settings, lifetime)],
@@ -42,7 +42,7 @@
 def make_state(
     settings: all_settings.GatewaySettings, follower: following.Follower
 ) -> _state.State:
-    """Return the reducer's first state, as the settings have it."""
+    """Return the reducer's initial state for the settings."""
     options = _options.Options(
         instance=settings.instance,
         failure_domain=settings.failure_domain,
@@ -60,7 +60,7 @@
 def make_follower(
     settings: all_settings.GatewaySettings,
 ) -> configuration.Follower:
-    """Return what follows the configuration for a gateway."""
+    """Return a follower of the configuration for a gateway."""
     return configuration.Follower(
         settings.instance, events.Role.GATEWAY, settings.failure_domain
     )
@@ -91,7 +91,7 @@
             meters.render,
             surroundings=surroundings,
         )
-        self._observe(meters)
+        self._register_gauges(meters)
         self.listeners = self._page_listeners(surroundings)
 
     def _page_listeners(
@@ -101,15 +101,15 @@
             return []
         pages = self.shell.pages
         return [
-            shell.PagesServer(where.host, where.port, {where.path: page})
-            for where, page in (
+            shell.PagesServer(address.host, address.port, {address.path: page})
+            for address, page in (
                 (surroundings.readiness, pages.readiness),
                 (surroundings.metrics, pages.metrics),
             )
-            if where is not None
+            if address is not None
         ]
 
-    def _observe(self, meters: metrics.Meters) -> None:
+    def _register_gauges(self, meters: metrics.Meters) -> None:
         meters.observe(
             'http.server.active_requests', lambda: self.shell.in_flight
         )
@@ -121,7 +121,7 @@
         )
 
     async def start(self) -> None:
-        """Listen and begin."""
+        """Start the page listeners and the shell."""
         try:
             for listener in self.listeners:
                 await listener.start()
@@ -130,17 +130,17 @@
             if error.errno != errno.EADDRINUSE:
                 raise
             raise exits.UserError(
-                f'a port is taken: {error.strerror}',
+                f'a port is in use: {error.strerror}',
                 exits.ExitCode.ADDRESS_IN_USE,
             ) from error
-        self.shell.ended.add_done_callback(self._ended)
+        self.shell.ended.add_done_callback(self._on_shell_ended)
         metrics.open_soon(self.meters)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Finish what is in flight, then close."""
+        """Finish the requests in flight, then close."""
         self.lifetime.stop(await self.shell.stop())
         for listener in self.listeners:
             await listener.stop()
 
-    def _ended(self, ended: asyncio.Future[int]) -> None:
+    def _on_shell_ended(self, ended: asyncio.Future[int]) -> None:
         self.lifetime.stop(ended.result())
