--- a/berylhollow/gateway/__init__.py
+++ b/berylhollow/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway: routes callers' requests to endpoints via their sidecars."""
+"""The gateway: routes callers' requests to endpoints."""
 
 from berylhollow.gateway._options import Options
 from berylhollow.gateway._reducer import reduce
--- a/berylhollow/gateway/_bodies.py
+++ b/berylhollow/gateway/_bodies.py
@@ -82,7 +82,10 @@
 
 
 async def _send_continue(request: web.BaseRequest) -> None:
-    """Send 100 Continue if the caller waits for it; else BAD_HEADER."""
+    """Send 100 Continue if the caller expects it.
+
+    Raises BAD_HEADER for any other expectation.
+    """
     expectation = request.headers.get('Expect')
     if expectation is None:
         return
--- a/berylhollow/gateway/_dialect.py
+++ b/berylhollow/gateway/_dialect.py
@@ -122,7 +122,7 @@
     error_events = True
 
     def echoed_id(self, headers) -> str | None:
-        return _parsing.echoed_id(headers)
+        return _parsing.caller_request_id(headers)
 
     def accept(
         self, request: web.BaseRequest, default_deadline_ms: int
--- a/berylhollow/gateway/_parsing.py
+++ b/berylhollow/gateway/_parsing.py
@@ -112,7 +112,7 @@
         return f'{self.prefix}-{next(self.counter):x}'
 
 
-def echoed_id(headers) -> str | None:
+def caller_request_id(headers) -> str | None:
     """Return the caller's own request id; BAD_HEADER if it is malformed."""
     return _single_header(headers, REQUEST_ID_HEADER, OPAQUE_VALUE)
 
--- a/berylhollow/gateway/_responding.py
+++ b/berylhollow/gateway/_responding.py
@@ -250,7 +250,7 @@
 
 
 def _run_without_waiting(coroutine: collections.abc.Coroutine) -> None:
-    """Run a coroutine that never waits to its end.
+    """Run a coroutine to its end; it must not wait.
 
     The library writes a chunk with a coroutine that waits only for a drain.
     Running it here avoids a task switch for each token.
--- a/berylhollow/gateway/_shell.py
+++ b/berylhollow/gateway/_shell.py
@@ -319,7 +319,7 @@
     def _relay_for_frame(
         self, peer: str, frame: _relay.Frame
     ) -> _relay.Relay | None:
-        """Return the relay of a frame, None for no current attempt.
+        """Return the relay of a frame, None if its attempt is not current.
 
         Frames of an attempt that was given up, or of a peer that was never
         asked, would otherwise be mixed into another answer. They are
