--- a/berylhollow/policy/__init__.py
+++ b/berylhollow/policy/__init__.py
@@ -1,12 +1,12 @@
-"""Adapter policies: where a request goes, what is loaded, what is evicted.
+"""Policies for adapters: routing, load order and eviction.
 
-A policy is named in the settings and decides on views that the reducers
-give it; it has no I/O and no clock. What it decides is never a promise: pins,
-epochs and names are guarded by the reducers whatever the policy says.
+A policy is chosen by name in the settings. It decides from views that the
+reducers pass to it and has neither I/O nor a clock. Its decisions are hints:
+the reducers check pins, epochs and names whatever the policy returns.
 """
 
 from berylhollow.policy import _demand
-from berylhollow.policy import _named
+from berylhollow.policy import _registry
 from berylhollow.policy import _rendezvous as rendezvous
 from berylhollow.policy import _types
 
@@ -19,15 +19,15 @@
 Held = _types.Held
 LoadOrder = _types.LoadOrder
 LoadPlan = _types.LoadPlan
-Policy = _named.Policy
+Policy = _registry.Policy
 RouteQuery = _types.RouteQuery
 Router = _types.Router
 Want = _types.Want
 Weights = _types.Weights
 
-POLICIES = _named.POLICIES
-named = _named.named
-weights_of = _named.weights_of
+POLICIES = _registry.POLICIES
+named = _registry.named
+weights_of = _registry.weights_of
 
 __all__ = [
     'POLICIES',
--- a/berylhollow/policy/_baselines.py
+++ b/berylhollow/policy/_baselines.py
@@ -1,4 +1,4 @@
-"""Simple policies that the product's own is measured against."""
+"""Simple policies that serve as baselines in comparisons."""
 
 import collections.abc
 
@@ -7,7 +7,7 @@
 
 
 class LeastLoaded:
-    """The least loaded endpoint, whatever it holds."""
+    """Routes to the least loaded endpoint, whatever adapters it holds."""
 
     def choose(
         self, query: _types.RouteQuery, fleet: _types.Fleet
@@ -16,7 +16,7 @@
 
 
 class HolderLeastLoaded:
-    """The least loaded holder, else the least loaded endpoint."""
+    """Routes to the least loaded holder, else the least loaded endpoint."""
 
     def choose(
         self, query: _types.RouteQuery, fleet: _types.Fleet
@@ -28,11 +28,11 @@
             holders = fleet.awaiting(query.adapter)
         if not holders:
             return fleet.least_loaded()
-        return min(holders, key=lambda name: (load(fleet, name), name))
+        return min(holders, key=lambda name: (load_ratio(fleet, name), name))
 
 
 class StaticHash:
-    """The first endpoint of the adapter's rendezvous order."""
+    """Routes to the first endpoint in the adapter's rendezvous order."""
 
     def choose(
         self, query: _types.RouteQuery, fleet: _types.Fleet
@@ -43,7 +43,7 @@
 
 
 class RandomChoice:
-    """Any endpoint."""
+    """Routes to an endpoint picked at random."""
 
     def choose(
         self, query: _types.RouteQuery, fleet: _types.Fleet
@@ -54,14 +54,14 @@
         return names[int(query.seed * len(names))]
 
 
-def load(fleet: _types.Fleet, name: str) -> float:
-    """Return the requests in flight for each place in the batch."""
+def load_ratio(fleet: _types.Fleet, name: str) -> float:
+    """Return an endpoint's requests in flight per unit of batch capacity."""
     view = fleet.view(name)
     return view.in_flight / max(1, view.capacity)
 
 
 class OldestFirst:
-    """Load what has been waited for the longest; give nothing up."""
+    """Loads the adapter that was waited for longest; never gives one up."""
 
     def plan(
         self,
@@ -77,20 +77,20 @@
 
 
 class LeastRecentlyUsed:
-    """Evict the adapter that was used the longest ago."""
+    """Evicts the adapter whose last use is longest ago."""
 
     def value(self, held: _types.Held, at_ms: int) -> float:
         return held.used_ms
 
-    def worth_it(self, gain: float, loss: float) -> bool:
+    def should_evict(self, gain: float, loss: float) -> bool:
         return False
 
 
 class RandomEviction:
-    """Evict any adapter, by a hash of its name and the moment."""
+    """Evicts a random adapter, by a hash of its name and the time."""
 
     def value(self, held: _types.Held, at_ms: int) -> float:
         return _rendezvous.score(_rendezvous.digest(str(held.adapter)), at_ms)
 
-    def worth_it(self, gain: float, loss: float) -> bool:
+    def should_evict(self, gain: float, loss: float) -> bool:
         return False
--- a/berylhollow/policy/_demand.py
+++ b/berylhollow/policy/_demand.py
@@ -1,4 +1,4 @@
-"""Estimates of how often each adapter is asked for."""
+"""Estimates of the request rate of each adapter."""
 
 import dataclasses
 import math
@@ -9,56 +9,59 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Decayed:
-    """A count of requests that decays over a time constant."""
+class DecayedCount:
+    """A count of requests that decays exponentially.
+
+    ``count`` is its value at ``at_ms``.
+    """
 
     count: float = 0.0
     at_ms: int = 0
 
-    def at(self, at_ms: int, constant_ms: float) -> float:
-        """Return the count decayed to a moment."""
-        return self.count * math.exp((self.at_ms - at_ms) / constant_ms)
+    def value_at(self, at_ms: int, time_constant_ms: float) -> float:
+        """Return the count, decayed until the given time."""
+        return self.count * math.exp((self.at_ms - at_ms) / time_constant_ms)
 
-    def add(self, at_ms: int, constant_ms: float) -> None:
-        """Count one more at a moment."""
-        self.count = self.at(at_ms, constant_ms) + 1
+    def increment(self, at_ms: int, time_constant_ms: float) -> None:
+        """Decay the count until the given time and add one."""
+        self.count = self.value_at(at_ms, time_constant_ms) + 1
         self.at_ms = at_ms
 
 
 class DecayedDemand:
-    """One decayed count for each adapter.
+    """Estimates demand by one exponentially decayed count per adapter.
 
-    Forgets adapters whose count has become negligible, so that its memory
-    follows the adapters in use and not all that were ever asked for.
+    Keeps at most ``max_adapters`` counts and drops the lowest ones, so that
+    memory is bounded by the adapters in use, not by all ever requested.
     """
 
-    def __init__(self, constant_ms: float, most_adapters: int = 4096):
-        self.constant_ms = constant_ms
-        self.most_adapters = most_adapters
-        self.counts: dict[messages.AdapterVersion, Decayed] = {}
+    def __init__(self, time_constant_ms: float, max_adapters: int = 4096):
+        self.time_constant_ms = time_constant_ms
+        self.max_adapters = max_adapters
+        self.counts: dict[messages.AdapterVersion, DecayedCount] = {}
 
     def note(self, adapter: messages.AdapterVersion, at_ms: int) -> None:
-        """A request for the adapter has arrived."""
+        """Count one request for the adapter."""
         count = self.counts.get(adapter)
         if count is None:
-            if len(self.counts) >= self.most_adapters:
-                self.forget(at_ms)
-            count = self.counts[adapter] = Decayed()
-        count.add(at_ms, self.constant_ms)
+            if len(self.counts) >= self.max_adapters:
+                self.drop_lowest(at_ms)
+            count = self.counts[adapter] = DecayedCount()
+        count.increment(at_ms, self.time_constant_ms)
 
     def rate(self, adapter: messages.AdapterVersion, at_ms: int) -> float:
-        """Return the expected requests a second."""
+        """Return the expected requests per second for the adapter."""
         count = self.counts.get(adapter)
         if count is None:
             return 0.0
-        decayed = count.at(at_ms, self.constant_ms)
-        return decayed * MS_PER_SECOND / self.constant_ms
+        decayed = count.value_at(at_ms, self.time_constant_ms)
+        return decayed * MS_PER_SECOND / self.time_constant_ms
 
-    def forget(self, at_ms: int) -> None:
-        """Drop the lesser half."""
+    def drop_lowest(self, at_ms: int) -> None:
+        """Keep only the ``max_adapters // 2`` adapters with most demand."""
         kept = sorted(
             self.counts,
             key=lambda adapter: self.rate(adapter, at_ms),
             reverse=True,
-        )[: self.most_adapters // 2]
+        )[: self.max_adapters // 2]
         self.counts = {adapter: self.counts[adapter] for adapter in kept}
--- a/berylhollow/policy/_direct_router.py
+++ b/berylhollow/policy/_direct_router.py
@@ -1,8 +1,9 @@
-"""Choice among endpoints that queue by themselves and reload quickly.
+"""Routing to endpoints that queue requests themselves and reload quickly.
 
-An endpoint that has held an adapter lately loads it again ten times as fast
-as from the weight store, and at no price there. What waits at an endpoint is
-prompts to read, so its backlog is counted in prompt tokens.
+An endpoint that has held an adapter recently reloads it ten times as fast as
+from the weight store, and without the price of a fetch. What waits at such
+an endpoint is prompts to be prefilled, so its backlog is counted in prompt
+tokens. Every cost below is in milliseconds of waiting.
 """
 
 import collections.abc
@@ -10,111 +11,116 @@
 from berylhollow.policy import _types
 
 FETCH_MS = 800.0
-"""Cost of a load from the weight store, in milliseconds of waiting prompts.
+"""Cost of a load from the weight store.
 
-The load takes 250, but each is paid for, and takes a slot from an adapter
-that has it. At 400 requests moved on from endpoints with a copy at hand
-whenever two long prompts waited there; at 1500 one in a hundred more was late
-in a crowd of sixty endpoints (test_size), which has slots to spare.
+The load itself takes 250 ms, but each one is paid for and takes a slot from
+an adapter that has it. With 400, requests left endpoints that held a copy as
+soon as two long prompts waited there. With 1500, one request in a hundred
+more was late in a burst over sixty endpoints with slots to spare (test_size).
 """
 
 RELOAD_MS = 30.0
-"""Cost of a load where the adapter was held lately."""
+"""Cost of a load where the adapter was held recently."""
 
 BUSY_SLOTS_MS = 250.0
-"""Cost of an endpoint all of whose slots are in use. One of six falls free
-within about 200 ms where runs take 1.2 s; a request that stays with its own
-endpoint finds the adapter held lately there, one that moves on has it
-fetched."""
+"""Cost of an endpoint whose slots are all in use.
 
-CROWD_MS = 60.0
-"""Cost of each load that an endpoint waits for already."""
+With six slots and runs of 1.2 s, one becomes free within about 200 ms. A
+request that stays with its usual endpoint finds the adapter recently held
+there; one that goes elsewhere needs a fetch.
+"""
+
+QUEUED_LOAD_MS = 60.0
+"""Cost of each load that the endpoint is already waiting for."""
 
-RANK_MS = 25.0
-"""Cost of each place further down in the adapter's own order, so that all
-gateways bring a cold adapter to the same endpoint."""
+RANK_STEP_MS = 25.0
+"""Cost of each rank in the adapter's rendezvous order, so that all gateways
+load a cold adapter at the same endpoint."""
 
 REPLICA_MS = 400.0
-"""How much less the backlog elsewhere must be to be worth another copy: a
-slot more for the same adapter is a slot less for others. Whoever waits longer
-than this, and then 100 to 350 ms for the own prompt, is near the second in
-which callers want a first token. At 1500 a popular adapter kept its one
-holder until one in six of all callers was late (test_size)."""
+"""How much shorter the backlog elsewhere must be to justify another copy.
+
+Another slot for one adapter is one less for the others. A request that waits
+longer than this, and then 100 to 350 ms for its own prompt, comes close to
+the second within which callers expect the first token. With 1500, a popular
+adapter kept its only holder until one caller in six was late (test_size).
+"""
 
-COMING_MS = 400.0
-"""Cost of a copy that is still to come: a load, and the order before it."""
+PENDING_COPY_MS = 400.0
+"""Cost of a copy that is not loaded yet: the load, and the wait for it."""
 
-SPREAD_MS = 3.0
-"""Cost of each request in flight: breaks ties between idle endpoints."""
+IN_FLIGHT_MS = 3.0
+"""Cost of each request in flight; breaks ties between idle endpoints."""
 
-CANDIDATES = 16
-"""Endpoints looked at for a load."""
+MAX_CANDIDATES = 16
+"""Endpoints that are considered for a load."""
 
-SAMPLED = 8
-"""Endpoints compared for a request that needs no adapter."""
+SAMPLE_SIZE = 8
+"""Endpoints that are compared for a request without an adapter."""
 
 
 class QuickReload:
-    """The endpoint where a request is answered soonest, by what is known."""
+    """Routes to the endpoint that is expected to answer soonest."""
 
     def choose(
         self, query: _types.RouteQuery, fleet: _types.Fleet
     ) -> str | None:
         if query.adapter is None:
-            names = fleet.sample(query.seed, SAMPLED)
-            return _least(names, lambda name: run_ms(fleet.view(name)))
+            names = fleet.sample(query.seed, SAMPLE_SIZE)
+            return _cheapest(names, lambda name: wait_ms(fleet.view(name)))
         return _choose(query, fleet)
 
 
 def _choose(query: _types.RouteQuery, fleet: _types.Fleet) -> str | None:
-    """Queue at a holder, or load elsewhere if that is much sooner."""
+    """Return a holder, or an endpoint to load at if that is much sooner."""
     adapter = query.adapter
     holders = fleet.holders(adapter)
-    best = _least(holders, lambda name: run_ms(fleet.view(name)))
-    if best is not None and run_ms(fleet.view(best)) < REPLICA_MS:
+    best = _cheapest(holders, lambda name: wait_ms(fleet.view(name)))
+    if best is not None and wait_ms(fleet.view(best)) < REPLICA_MS:
         return best
-    coming = [x for x in fleet.awaiting(adapter) if x not in holders]
-    soon = _least(coming, lambda name: run_ms(fleet.view(name)))
+    pending = [x for x in fleet.awaiting(adapter) if x not in holders]
+    loading = _cheapest(pending, lambda name: wait_ms(fleet.view(name)))
     if best is None:
-        return soon or _cheapest_load(query, fleet, [])
-    other = soon or _cheapest_load(query, fleet, holders)
+        return loading or _cheapest_load(query, fleet, [])
+    other = loading or _cheapest_load(query, fleet, holders)
     if other is None:
         return best
     view = fleet.view(other)
-    other_ms = run_ms(view) + (COMING_MS if soon else REPLICA_MS)
+    other_ms = wait_ms(view) + (PENDING_COPY_MS if loading else REPLICA_MS)
     if not view.evictable:
         other_ms += BUSY_SLOTS_MS
-    return other if other_ms < run_ms(fleet.view(best)) else best
+    return other if other_ms < wait_ms(fleet.view(best)) else best
 
 
 def _cheapest_load(
     query: _types.RouteQuery, fleet: _types.Fleet, holders: list[str]
 ) -> str | None:
+    """Return the endpoint to load at, among the first of the order."""
     costs = {}
     for rank, name in enumerate(fleet.ranked(query.adapter)):
-        if rank >= CANDIDATES:
+        if rank >= MAX_CANDIDATES:
             break
         if name not in holders:
-            costs[name] = rank * RANK_MS + load_ms(query, fleet, name)
-    return _least(costs, costs.__getitem__)
+            costs[name] = rank * RANK_STEP_MS + load_ms(query, fleet, name)
+    return _cheapest(costs, costs.__getitem__)
 
 
-def run_ms(view: _types.EndpointView) -> float:
-    """Return how long a request waits to begin there."""
-    return view.backlog_ms + SPREAD_MS * view.in_flight
+def wait_ms(view: _types.EndpointView) -> float:
+    """Return how long a request waits at the endpoint before it runs."""
+    return view.backlog_ms + IN_FLIGHT_MS * view.in_flight
 
 
 def load_ms(query: _types.RouteQuery, fleet: _types.Fleet, name: str) -> float:
-    """Return how long a request waits that needs a load there first."""
+    """Return how long a request waits that needs a load first."""
     view = fleet.view(name)
-    lately = fleet.held_lately(name, query.adapter)
-    cost_ms = RELOAD_MS if lately else FETCH_MS
+    is_reload = fleet.held_lately(name, query.adapter)
+    cost_ms = RELOAD_MS if is_reload else FETCH_MS
     if not view.evictable:
         cost_ms += BUSY_SLOTS_MS
-    return run_ms(view) + cost_ms + CROWD_MS * view.loads_waiting
+    return wait_ms(view) + cost_ms + QUEUED_LOAD_MS * view.loads_waiting
 
 
-def _least(
+def _cheapest(
     names: collections.abc.Iterable[str],
     cost: collections.abc.Callable[[str], float],
 ) -> str | None:
--- a/berylhollow/policy/_eviction.py
+++ b/berylhollow/policy/_eviction.py
@@ -1,25 +1,25 @@
-"""Choice of the adapter that a slot loses."""
+"""Choice of the adapter to evict from a slot."""
 
 from berylhollow.policy import _types
 
-GAIN_FACTOR = 2.0
-"""What nobody waits for must be worth this much more than what it evicts.
+MIN_GAIN_RATIO = 2.0
+"""How many times more a prefetched adapter must be worth than its victim.
 
-Guards against thrash: two adapters of about the same worth would evict each
-other by turns, and each load would be of no use.
+Prevents thrashing: two adapters of about the same worth would evict each
+other in turn, and none of the loads would be of use.
 """
 
 
 class LeastDemand:
-    """Evict the adapter with the least expected demand.
+    """Evicts the adapter with the least expected demand.
 
-    A load costs the same whichever adapter it is, so what keeping one is
-    worth is how often it saves a load. An adapter that was loaded and has
-    not run yet still has its whole use before it.
+    All adapters cost the same to load, so an adapter is worth keeping as
+    often as it saves a load. One that was loaded and has not run yet is
+    valued by its whole expected demand.
     """
 
     def value(self, held: _types.Held, at_ms: int) -> float:
         return held.rate * (1 + held.priority)
 
-    def worth_it(self, gain: float, loss: float) -> bool:
-        return gain > GAIN_FACTOR * loss
+    def should_evict(self, gain: float, loss: float) -> bool:
+        return gain > MIN_GAIN_RATIO * loss
--- a/berylhollow/policy/_load_order.py
+++ b/berylhollow/policy/_load_order.py
@@ -1,4 +1,4 @@
-"""Order of loads: what serves most goes first, what can't be served goes."""
+"""Order of loads: most requests served first, late requests given up."""
 
 import collections.abc
 
@@ -7,23 +7,25 @@
 MS_PER_SECOND = 1000
 DEMAND_HORIZON_S = 1.0
 """Requests expected within this time count like waiting ones."""
-AGE_PER_S = 0.02
-"""Worth of a second of waiting, in requests: breaks ties, bounds hunger."""
-PRIORITY_WORTH = 0.1
-"""Worth of one step of a request's priority, in requests."""
+AGE_WEIGHT_PER_S = 0.02
+"""Value of a second of waiting, in requests. Breaks ties and bounds
+starvation."""
+PRIORITY_WEIGHT = 0.1
+"""Value of one step of request priority, in requests."""
 COLD_REQUESTS = 0.2
-"""An adapter with fewer requests expected meanwhile has no other use."""
+"""An adapter is cold if fewer requests than this are expected for it during
+the time that its most urgent request can wait."""
 
 
 class MostServed:
-    """Load first what most requests wait for, as long as it is of use.
+    """Loads first the adapter for which the load serves most requests.
 
-    The weight store loads one adapter at a time and all loads take the same,
-    so each should serve as many requests as can be: those that wait and
-    would be on time, and those expected soon. An adapter whose turn would
-    come too late is given up at once, but only if hardly anyone else is
-    expected to ask for it: a wanted one gathers requests while it waits, and
-    one load serves them all.
+    The weight store loads one adapter at a time and all loads take equally
+    long, so each should serve as many requests as possible: those that wait
+    and would be on time, and those expected soon. Requests whose load would
+    come too late are given up at once, but only for an adapter in low
+    demand. A popular one collects requests while it waits, and one load
+    serves them all.
     """
 
     def plan(
@@ -34,33 +36,37 @@
     ) -> _types.LoadPlan:
         order: list[_types.Want] = []
         given_up: list[_types.GivenUp] = []
-        for want in sorted(wants, key=_by_worth):
+        for want in sorted(wants, key=_sort_key):
             wait_ms = len(order) * interval_ms
-            late = _late(want, wait_ms)
+            late = _count_late(want, wait_ms)
             if late:
                 given_up.append(_types.GivenUp(want.adapter, wait_ms))
-            if late < want.timely:
+            if late < want.timely_count:
                 order.append(want)
-        values = tuple(worth(want) for want in order)
+        values = tuple(load_value(want) for want in order)
         return _types.LoadPlan(tuple(order), values, tuple(given_up))
 
 
-def worth(want: _types.Want) -> float:
-    """Return how many requests a load would serve."""
-    waiting = want.timely * (1 + PRIORITY_WORTH * want.priority)
+def load_value(want: _types.Want) -> float:
+    """Return the value of a load, in requests that it would serve."""
+    waiting = want.timely_count * (1 + PRIORITY_WEIGHT * want.priority)
     expected = DEMAND_HORIZON_S * want.rate
-    age = AGE_PER_S * want.oldest_wait_ms / MS_PER_SECOND
+    age = AGE_WEIGHT_PER_S * want.oldest_wait_ms / MS_PER_SECOND
     return waiting + expected + age + want.adapter_priority
 
 
-def _by_worth(want: _types.Want) -> tuple[float, int, str]:
-    return -worth(want), min(want.slacks_ms, default=0), str(want.adapter)
+def _sort_key(want: _types.Want) -> tuple[float, int, str]:
+    """Order by value, then by the least slack, then by name."""
+    return -load_value(want), min(want.slacks_ms, default=0), str(want.adapter)
 
 
-def _late(want: _types.Want, wait_ms: float) -> int:
-    """Return how many requests should not wait for this load any longer."""
+def _count_late(want: _types.Want, wait_ms: float) -> int:
+    """Return how many requests to give up if the load begins in ``wait_ms``.
+
+    None of an adapter that is not cold.
+    """
     late = sum(slack_ms < wait_ms for slack_ms in want.slacks_ms)
     if not late:
         return 0
-    life_s = (want.slacks_ms[0] + want.oldest_wait_ms) / MS_PER_SECOND
-    return late if want.rate * life_s < COLD_REQUESTS else 0
+    lifetime_s = (want.slacks_ms[0] + want.oldest_wait_ms) / MS_PER_SECOND
+    return late if want.rate * lifetime_s < COLD_REQUESTS else 0
--- a/berylhollow/policy/_named.py
+++ b/berylhollow/policy/_registry.py
@@ -1,4 +1,4 @@
-"""The policies by the names that the settings use."""
+"""Registry of the policies, by the names that the settings use."""
 
 import collections.abc
 import dataclasses
@@ -11,14 +11,14 @@
 from berylhollow.policy import _router
 from berylhollow.policy import _types
 
-DEMAND_CONSTANT_MS = 60_000
+DEMAND_TIME_CONSTANT_MS = 60_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """Everything that varies from policy to policy.
+    """The parts of a policy and the name that settings give it.
 
-    ``demand`` keeps state, so each process makes its own policy.
+    ``demand`` keeps state, so each process creates its own policy.
     """
 
     name: str
@@ -34,7 +34,7 @@
         _baselines.HolderLeastLoaded(),
         _baselines.OldestFirst(),
         _baselines.LeastRecentlyUsed(),
-        _demand.DecayedDemand(DEMAND_CONSTANT_MS),
+        _demand.DecayedDemand(DEMAND_TIME_CONSTANT_MS),
     )
 
 
@@ -86,14 +86,15 @@
 
 
 def named(name: str) -> Policy:
-    """Return a new policy; raises ``KeyError`` for an unknown name."""
+    """Create a policy by its name; raises ``KeyError`` if it is unknown."""
     return POLICIES[name]()
 
 
 def weights_of(configuration, service: str) -> _types.Weights:
-    """Return the weights that the configuration gives to a service.
+    """Return the weights that the configuration declares for a service.
 
-    The defaults while no configuration has been read.
+    Returns the defaults if no configuration was read yet, or if it does not
+    declare the service.
     """
     if configuration is None:
         return _types.Weights()
--- a/berylhollow/policy/_types.py
+++ b/berylhollow/policy/_types.py
@@ -1,4 +1,4 @@
-"""What a policy decides, as protocols, and the data that it decides on."""
+"""Protocols of the parts of a policy, and the data that they work on."""
 
 import collections.abc
 import dataclasses
@@ -9,10 +9,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Weights:
-    """What the manifest of a service weighs against each other.
+    """Weights of two goals of a service, as declared in its manifest.
 
-    ``load_stall`` is what a second of waiting for a load costs,
-    ``batch_efficiency`` what a second of unused batch costs.
+    ``load_stall`` is the cost of a second of waiting for a load,
+    ``batch_efficiency`` the cost of a second of unused batch capacity.
     """
 
     load_stall: float = 1.0
@@ -20,16 +20,17 @@
 
     @property
     def batch_share(self) -> float:
-        """The part of batch efficiency in both, from 0 to 1."""
+        """The share of batch efficiency in the sum of weights, 0 to 1."""
         total = self.load_stall + self.batch_efficiency
         return self.batch_efficiency / total if total else 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteQuery:
-    """A request to be placed; ``seed`` is fresh randomness in [0, 1).
+    """A request to be routed.
 
-    ``remaining_ms`` is what is left until its deadline.
+    ``remaining_ms`` is the time left until its deadline, ``seed`` a new
+    random number in [0, 1).
     """
 
     adapter: messages.AdapterVersion | None
@@ -43,13 +44,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointView:
-    """An endpoint as a gateway knows it; a hint, never a fact.
-
-    ``in_flight`` counts requests that it has, ``capacity`` how many run at
-    once. ``run_ms`` is how long a run takes there, ``loads_waiting`` how
-    many adapters it waits for. ``evictable`` is False if every slot is in
-    use; ``victim_value`` is what it would lose with the least of its slots.
-    ``backlog_ms`` is how long what we sent there and has not begun will take.
+    """What a gateway knows of an endpoint; it may be out of date.
+
+    ``in_flight`` is the number of requests at the endpoint, ``capacity`` the
+    number that run at once, ``run_ms`` the duration of a run and
+    ``loads_waiting`` the number of adapters that it waits to load.
+    ``evictable`` is False if every slot is in use; ``victim_value`` is the
+    value of the adapter in its least valuable slot. ``backlog_ms`` is the
+    time to work off the requests sent there that have not begun.
     """
 
     name: str
@@ -66,67 +68,68 @@
 class Fleet(typing.Protocol):
     """The endpoints that a request may be offered to.
 
-    None of its calls scans all endpoints but ``names``.
+    Of its methods only ``names`` scans all endpoints.
     """
 
     def names(self) -> collections.abc.Sequence[str]:
         """Return every endpoint that may be chosen, in a fixed order."""
 
     def holders(self, adapter: messages.AdapterVersion) -> list[str]:
-        """Return those that hold an adapter, ready to run it."""
+        """Return endpoints that hold an adapter and are ready to run it."""
 
     def awaiting(self, adapter: messages.AdapterVersion) -> list[str]:
-        """Return those that load it, or where requests wait for a load."""
+        """Return endpoints where a load is running or requests wait for it."""
 
     def ranked(
         self, adapter: messages.AdapterVersion
     ) -> collections.abc.Iterator[str]:
-        """Yield endpoints in the rendezvous order of an adapter."""
+        """Yield the endpoints in the rendezvous order of an adapter."""
 
     def held_lately(self, name: str, adapter: messages.AdapterVersion) -> bool:
-        """Tell whether an endpoint had an adapter not long ago."""
+        """Tell whether an endpoint held an adapter recently."""
 
     def view(self, name: str) -> EndpointView:
         """Return what is known of one endpoint."""
 
     def sample(self, seed: float, count: int) -> list[str]:
-        """Return up to ``count`` endpoints, evenly spread, by the seed."""
+        """Return up to ``count`` evenly spread endpoints, chosen by a seed."""
 
     def load_of(self, name: str) -> tuple[float, str]:
-        """Return an endpoint's load for its capacity, then its name."""
+        """Return an endpoint's load per unit of capacity, and its name."""
 
     def least_loaded(self) -> str | None:
-        """Return the endpoint with the least load for its capacity."""
+        """Return the endpoint with the least load per unit of capacity."""
 
     def load_wait_ms(self) -> float:
-        """Return how long a load ordered now takes to be ready."""
+        """Return how long a load that is ordered now takes to finish."""
 
 
 class Router(typing.Protocol):
-    """Chooses the endpoint of an attempt."""
+    """Chooses the endpoint for an attempt of a request."""
 
     def choose(self, query: RouteQuery, fleet: Fleet) -> str | None:
         """Return the endpoint to offer a request to, None if none can."""
 
 
 class DemandEstimate(typing.Protocol):
-    """How often each adapter is asked for."""
+    """Estimates the request rate of each adapter."""
 
     def note(self, adapter: messages.AdapterVersion, at_ms: int) -> None:
-        """A request for the adapter has arrived."""
+        """Count one request for the adapter."""
 
     def rate(self, adapter: messages.AdapterVersion, at_ms: int) -> float:
-        """Return the requests a second expected from now on."""
+        """Return the expected requests per second for the adapter."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Want:
     """An adapter that requests wait for.
 
-    ``slacks_ms`` tells, for each waiting request that would be on time if
-    the load began now, how much later it may begin; sorted. ``priority`` is
-    the highest of the waiting requests, ``adapter_priority`` the adapter's
-    own, ``rate`` the expected demand in requests a second.
+    ``slacks_ms`` holds, in ascending order, how much the load may be delayed
+    for each waiting request that would be on time if it began now.
+    ``priority`` is the highest one of the waiting requests,
+    ``adapter_priority`` that of the adapter itself, ``rate`` the expected
+    demand in requests per second.
     """
 
     adapter: messages.AdapterVersion
@@ -138,14 +141,17 @@
     rate: float
 
     @property
-    def timely(self) -> int:
-        """How many requests would be on time if the load began now."""
+    def timely_count(self) -> int:
+        """The number of requests on time if the load began now."""
         return len(self.slacks_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GivenUp:
-    """Requests for an adapter that can't wait ``wait_ms`` are given up."""
+    """An adapter whose load begins too late for some requests.
+
+    Those that can't wait ``wait_ms`` for it are given up.
+    """
 
     adapter: messages.AdapterVersion
     wait_ms: float
@@ -153,9 +159,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """What to load in which order, and what would come too late.
+    """The order of loads, and the adapters whose load would be too late.
 
-    ``values`` are comparable between endpoints, one for each of ``order``.
+    ``values`` has the value of each load in ``order``; values are comparable
+    between endpoints.
     """
 
     order: tuple[Want, ...] = ()
@@ -164,7 +171,7 @@
 
 
 class LoadOrder(typing.Protocol):
-    """Decides which adapter is loaded next."""
+    """Decides in which order adapters are loaded."""
 
     def plan(
         self,
@@ -172,15 +179,15 @@
         interval_ms: float,
         weights: Weights,
     ) -> LoadPlan:
-        """Return the order of loads, of which one begins each interval."""
+        """Return the order of loads; one begins per interval."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Held:
     """An adapter in a slot that may be evicted.
 
-    ``rate`` is its expected demand in requests a second, ``runs`` how many
-    it has served since it was loaded.
+    ``rate`` is its expected demand in requests per second, ``runs`` the
+    number of requests that it has served since it was loaded.
     """
 
     adapter: messages.AdapterVersion
@@ -192,13 +199,13 @@
 
 
 class Eviction(typing.Protocol):
-    """Decides which adapter a slot loses."""
+    """Decides which adapter is evicted from its slot."""
 
     def value(self, held: Held, at_ms: int) -> float:
-        """Return what keeping is worth; the least is evicted first."""
+        """Return the value of keeping it; the lowest is evicted first."""
 
-    def worth_it(self, gain: float, loss: float) -> bool:
+    def should_evict(self, gain: float, loss: float) -> bool:
         """Tell whether a load of value ``gain`` may evict one of ``loss``.
 
-        Asked only when no request waits for the load.
+        Only for loads that no request waits for.
         """
--- a/test/policy/fleets.py
+++ b/test/policy/fleets.py
@@ -1,4 +1,4 @@
-"""Builders of what a policy decides on."""
+"""Builders for the data that policies work on, and a fixed fleet."""
 
 import dataclasses
 
@@ -60,13 +60,17 @@
 
 @dataclasses.dataclass
 class FixedFleet:
-    """A fleet in which every list keeps the order it was given in."""
+    """A fleet with fixed contents; all lists keep the given order.
+
+    ``ready`` names the holders of every adapter, ``pending`` the endpoints
+    that wait for a load, ``recent`` those that held an adapter recently.
+    """
 
     views: dict
     ready: tuple = ()
-    coming: tuple = ()
+    pending: tuple = ()
     load_ms: float = 500.0
-    lately: tuple = ()
+    recent: tuple = ()
 
     def names(self):
         return list(self.views)
@@ -75,7 +79,7 @@
         return list(self.ready)
 
     def awaiting(self, adapter):
-        return list(self.coming)
+        return list(self.pending)
 
     def ranked(self, adapter):
         return iter(self.views)
@@ -87,18 +91,18 @@
         return list(self.views)[:count]
 
     def load_of(self, name):
-        found = self.views[name]
-        return found.in_flight / found.capacity, name
+        endpoint = self.views[name]
+        return endpoint.in_flight / endpoint.capacity, name
 
     def least_loaded(self):
         return min(self.views, key=self.load_of, default=None)
 
     def held_lately(self, name, adapter):
-        return name in self.lately
+        return name in self.recent
 
     def load_wait_ms(self):
         return self.load_ms
 
 
 def fleet(*views, **changes):
-    return FixedFleet({found.name: found for found in views}, **changes)
+    return FixedFleet({item.name: item for item in views}, **changes)
--- a/test/policy/test_direct_router.py
+++ b/test/policy/test_direct_router.py
@@ -1,10 +1,9 @@
-"""Choice among endpoints that queue by themselves and reload quickly.
+"""Tests of routing to endpoints that queue requests and reload quickly.
 
-The load that this answers: many adapters of heavy skew over a few endpoints
-with six slots each, more distinct adapters in use than slots, prompts of
-about 1,800 tokens that take 100 ms to read. The figures in the cases are
-those of such endpoints: a fetch takes 250 ms, a reload 25, a run about a
-second.
+The load is many adapters of heavily skewed popularity on a few endpoints with
+six slots each: more adapters in use than slots, prompts of about 1,800 tokens
+that take 100 ms to prefill. A fetch takes 250 ms, a reload 25 ms, a run about
+a second.
 """
 
 import unittest
@@ -38,25 +37,27 @@
 
 
 class HolderTest(unittest.TestCase):
-    def test_holder_serves_although_it_is_busier(self):
-        """A hot adapter does not spread while its holder keeps up.
+    def test_holder_is_chosen_although_it_is_busier(self):
+        """A popular adapter is not copied while its holder keeps up.
 
-        Each copy takes a slot that another adapter needs: with a copy at
-        every endpoint most adapters had no slot left and were refused.
+        Each copy takes a slot that another adapter needs. With a copy at
+        every endpoint most adapters had no slot left and their requests were
+        refused.
         """
         fleet = fleets.fleet(view('e1', 400), view('e2'), ready=('e1',))
         self.assertEqual('e1', choose(fleet))
 
-    def test_second_copy_where_the_holder_can_not_keep_up(self):
-        """One endpoint reads eight prompts a second; demand is more.
+    def test_second_copy_is_loaded_if_the_holder_can_not_keep_up(self):
+        """Demand for one adapter exceeds what one endpoint can prefill.
 
-        A burst for one adapter has twenty prompts waiting at its holder.
-        Whoever comes would be late there and on time at another endpoint.
+        An endpoint prefills eight prompts a second, and a burst has left
+        twenty waiting at the holder. The next request would be late there and
+        on time at another endpoint.
         """
         fleet = fleets.fleet(view('e1', 2000), view('e2'), ready=('e1',))
         self.assertEqual('e2', choose(fleet))
 
-    def test_shorter_backlog_among_holders(self):
+    def test_holder_with_the_shortest_backlog_is_chosen(self):
         fleet = fleets.fleet(
             view('e1', 300), view('e2', 100), ready=('e1', 'e2')
         )
@@ -64,48 +65,48 @@
 
 
 class LoadTest(unittest.TestCase):
-    def test_cold_adapter_goes_to_the_first_of_its_order(self):
+    def test_cold_adapter_goes_to_the_first_of_its_rendezvous_order(self):
         """Several gateways get a request for the same cold adapter.
 
-        Without an order of its own each would bring it to another endpoint:
-        four fetches in place of one.
+        Without a common order each would load it at another endpoint: four
+        fetches in place of one.
         """
         fleet = fleets.fleet(view('e1'), view('e2'), view('e3'))
         self.assertEqual('e1', choose(fleet))
 
-    def test_copy_held_lately_is_worth_a_detour(self):
-        """An adapter that was evicted is asked for again.
+    def test_recent_holder_is_preferred_to_a_fetch_elsewhere(self):
+        """An adapter that was evicted is requested again.
 
-        Where it was, it is back in 25 ms and at no price; elsewhere it is
-        fetched from the weight store, which slows everybody's fetches.
+        Its last holder reloads it in 25 ms and at no price. Any other
+        endpoint fetches it from the weight store, which slows all fetches.
         """
         fleet = fleets.fleet(
-            view('e1'), view('e2'), view('e3', 200), lately=('e3',)
+            view('e1'), view('e2'), view('e3', 200), recent=('e3',)
         )
         self.assertEqual('e3', choose(fleet))
 
-    def test_endpoint_with_all_slots_in_use_comes_after_its_equals(self):
+    def test_endpoint_with_an_evictable_slot_is_preferred(self):
         fleet = fleets.fleet(view('e1', evictable=False), view('e2', 200))
         self.assertEqual('e2', choose(fleet))
 
-    def test_slot_that_is_about_to_fall_free_is_worth_a_short_wait(self):
-        """Every slot is in use where the request belongs.
+    def test_full_endpoint_is_kept_if_others_have_a_longer_backlog(self):
+        """Every slot is in use at the first endpoint of the order.
 
-        Elsewhere prompts wait for longer than a slot takes to fall free;
-        moved there, the adapter would be fetched once more for nothing.
+        Elsewhere the backlog is longer than a slot takes to become free, so
+        that moving the request would cost another fetch and gain nothing.
         """
         fleet = fleets.fleet(view('e1', evictable=False), view('e2', 300))
         self.assertEqual('e1', choose(fleet))
 
-    def test_load_under_way_is_waited_for(self):
-        fleet = fleets.fleet(view('e1'), view('e2'), coming=('e2',))
+    def test_running_load_is_waited_for(self):
+        fleet = fleets.fleet(view('e1'), view('e2'), pending=('e2',))
         self.assertEqual('e2', choose(fleet))
 
 
-class PlainTest(unittest.TestCase):
-    def test_request_without_adapter_goes_where_least_waits(self):
+class NoAdapterTest(unittest.TestCase):
+    def test_request_goes_to_the_shortest_backlog(self):
         fleet = fleets.fleet(view('e1', 100), view('e2', 50))
         self.assertEqual('e2', choose(fleet, adapter=None))
 
-    def test_nobody_left(self):
+    def test_none_without_endpoints(self):
         self.assertIsNone(choose(fleets.fleet()))
--- a/test/policy/test_load_order.py
+++ b/test/policy/test_load_order.py
@@ -1,4 +1,4 @@
-"""Which adapter is loaded next, and what is given up."""
+"""Tests of the order of loads and of requests that are given up."""
 
 import unittest
 
@@ -11,12 +11,12 @@
 
 
 def plan(*wants, order=None):
-    chosen = order or _load_order.MostServed()
-    return chosen.plan(wants, INTERVAL_MS, policy.Weights())
+    policy_part = order or _load_order.MostServed()
+    return policy_part.plan(wants, INTERVAL_MS, policy.Weights())
 
 
-def names(found):
-    return [want.adapter.adapter for want in found.order]
+def names(load_plan):
+    return [want.adapter.adapter for want in load_plan.order]
 
 
 class MostServedTest(unittest.TestCase):
@@ -25,7 +25,7 @@
         three = fleets.want('three', [9000] * 3)
         self.assertEqual(['three', 'one'], names(plan(one, three)))
 
-    def test_values_are_comparable_and_fall(self):
+    def test_values_are_in_descending_order(self):
         found = plan(fleets.want('b', [9000]), fleets.want('a', [9000] * 2))
         self.assertGreater(found.values[0], found.values[1])
 
@@ -34,7 +34,7 @@
         timely = fleets.want('timely', [9000, 9000])
         self.assertEqual(['timely', 'late'], names(plan(late, timely)))
 
-    def test_equal_ones_by_age_then_by_slack(self):
+    def test_equal_counts_are_ordered_by_age_then_by_slack(self):
         young = fleets.want('a', [1000])
         old = fleets.want('b', [9000], oldest_wait_ms=4000)
         urgent = fleets.want('c', [500])
@@ -47,11 +47,11 @@
         found = names(plan(plain, caller, adapter))
         self.assertEqual(['adapter', 'caller', 'plain'], found)
 
-    def test_cold_adapter_whose_turn_is_too_late_is_given_up(self):
-        """A receptionist waits ten seconds to be told no.
+    def test_cold_adapter_whose_load_would_be_too_late_is_given_up(self):
+        """A request that can't be served waits ten seconds for its refusal.
 
-        Others wait for adapters that are worth more, and its turn could not
-        come in time. Cause: no word until the deadline.
+        Other adapters are worth more, so that its load can't begin in time.
+        Without giving up, the caller has no answer until the deadline.
         """
         ahead = [fleets.want(f'a{x}', [9000] * 2) for x in range(3)]
         found = plan(*ahead, fleets.want('cold', [1400]))
@@ -60,7 +60,7 @@
         self.assertEqual('cold', given_up.adapter.adapter)
         self.assertEqual(1500, given_up.wait_ms)
 
-    def test_wanted_adapter_gathers_requests_instead(self):
+    def test_adapter_in_demand_is_not_given_up(self):
         ahead = [fleets.want(f'a{x}', [9000] * 2) for x in range(3)]
         found = plan(*ahead, fleets.want('warm', [1400], rate=1.0))
         self.assertIn('warm', names(found))
--- a/test/policy/test_router.py
+++ b/test/policy/test_router.py
@@ -1,4 +1,4 @@
-"""Where a request goes: hold, queue, replicate or load."""
+"""Tests of routing: queue at a holder, replicate or load."""
 
 import unittest
 
@@ -8,8 +8,8 @@
 from test.policy import fleets
 
 ROUTER = _router.PredictedTime()
-STALLS = policy.Weights(load_stall=4.0, batch_efficiency=1.0)
-BATCHES = policy.Weights(load_stall=1.0, batch_efficiency=4.0)
+FAVOUR_LOAD_STALL = policy.Weights(load_stall=4.0, batch_efficiency=1.0)
+FAVOUR_BATCHING = policy.Weights(load_stall=1.0, batch_efficiency=4.0)
 
 
 def choose(fleet, **changes):
@@ -17,23 +17,23 @@
 
 
 class HolderTest(unittest.TestCase):
-    def test_holder_before_an_idle_endpoint(self):
+    def test_holder_is_preferred_to_an_idle_endpoint(self):
         fleet = fleets.fleet(
             fleets.view('idle'), fleets.view('holder'), ready=('holder',)
         )
         self.assertEqual('holder', choose(fleet))
 
-    def test_load_under_way_is_shared(self):
+    def test_running_load_is_shared(self):
         fleet = fleets.fleet(
-            fleets.view('idle'), fleets.view('loading'), coming=('loading',)
+            fleets.view('idle'), fleets.view('loading'), pending=('loading',)
         )
         self.assertEqual('loading', choose(fleet))
 
     def test_long_queue_gets_a_replica_in_another_domain(self):
-        """Callers of one suddenly hot adapter wait on one engine.
+        """All requests for a newly popular adapter queue at one endpoint.
 
-        All requests go to the only holder while others idle. Cause: a
-        holder is preferred whatever its queue.
+        Other endpoints are idle meanwhile. This happens if a holder is
+        preferred however long its queue is.
         """
         fleet = fleets.fleet(
             fleets.view('holder', in_flight=40),
@@ -62,35 +62,35 @@
 
 
 class LoadTest(unittest.TestCase):
-    def test_where_the_victim_is_worth_least(self):
+    def test_load_goes_where_the_victim_is_worth_least(self):
         fleet = fleets.fleet(
             fleets.view('hot', victim_value=1.0), fleets.view('cold')
         )
-        self.assertEqual('cold', choose(fleet, weights=STALLS))
+        self.assertEqual('cold', choose(fleet, weights=FAVOUR_LOAD_STALL))
 
-    def test_not_where_every_slot_is_in_use(self):
+    def test_load_avoids_endpoints_with_every_slot_in_use(self):
         fleet = fleets.fleet(
             fleets.view('full', evictable=False), fleets.view('free')
         )
         self.assertEqual('free', choose(fleet))
 
-    def test_batch_weight_puts_runs_together(self):
+    def test_batch_weight_favours_busy_endpoints(self):
         fleet = fleets.fleet(
             fleets.view('idle'), fleets.view('busy', in_flight=2)
         )
-        self.assertEqual('busy', choose(fleet, weights=BATCHES))
+        self.assertEqual('busy', choose(fleet, weights=FAVOUR_BATCHING))
         stalls_only = policy.Weights(1.0, 0.0)
         self.assertEqual('idle', choose(fleet, weights=stalls_only))
 
-    def test_first_in_the_order_when_all_cost_the_same(self):
+    def test_first_of_the_rendezvous_order_at_equal_cost(self):
         fleet = fleets.fleet(fleets.view('b'), fleets.view('a'))
         self.assertEqual('b', choose(fleet))
 
-    def test_nowhere(self):
+    def test_none_without_endpoints(self):
         self.assertIsNone(choose(fleets.fleet()))
 
 
-class PlainTest(unittest.TestCase):
+class NoAdapterTest(unittest.TestCase):
     def test_least_loaded_of_a_sample(self):
         fleet = fleets.fleet(
             fleets.view('busy', in_flight=3), fleets.view('idle')
@@ -109,7 +109,7 @@
     def choose(self, router, **changes):
         return router.choose(fleets.query(**changes), self.fleet)
 
-    def test_each_follows_its_one_rule(self):
+    def test_each_baseline_follows_its_rule(self):
         self.assertEqual('idle', self.choose(_baselines.LeastLoaded()))
         self.assertEqual('busy', self.choose(_baselines.HolderLeastLoaded()))
         self.assertEqual('busy', self.choose(_baselines.StaticHash()))
