--- a/berylhollow/rate_limits/__init__.py
+++ b/berylhollow/rate_limits/__init__.py
@@ -1,4 +1,4 @@
-"""Rate limits that endpoints name, kept over all gateways together."""
+"""Rate limits of endpoints, enforced over all gateways together."""
 
 from berylhollow.rate_limits._lender import Lender
 from berylhollow.rate_limits._lender import Lent
--- a/berylhollow/rate_limits/_lender.py
+++ b/berylhollow/rate_limits/_lender.py
@@ -1,19 +1,20 @@
-"""Lends gateways the requests that endpoints take, from a bucket each."""
+"""Lends requests to gateways, from one token bucket for each endpoint."""
 
 import dataclasses
 
 from berylhollow import clock
 from berylhollow.rate_limits import _bounds
 
-WORD_MS = 2000
-"""For how long a gateway's word on a rate counts."""
+REPORT_LIFETIME_MS = 2000
+"""How long a rate reported by a gateway counts."""
 
-FORGET_MS = 10_000
+IDLE_BUCKET_MS = 10_000
+"""A bucket that was not used for this long is removed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lent:
-    """How many requests are lent, and when to ask again if none is."""
+    """How many requests are lent, and when to ask again if none are."""
 
     count: int
     wait_ms: int
@@ -21,21 +22,25 @@
 
 @dataclasses.dataclass(slots=True)
 class _Bucket:
-    """What an endpoint takes; ``words`` has who said which rate, and when."""
+    """The token bucket of an endpoint.
+
+    ``reports`` maps each gateway to the rate that it last reported, and when.
+    """
 
     at_ms: int
     level: float = 0.0
-    words: dict[str, tuple[float, int]] = dataclasses.field(
+    reports: dict[str, tuple[float, int]] = dataclasses.field(
         default_factory=dict
     )
 
 
 class Lender:
-    """What may be sent to endpoints with a limit; a pure machine.
+    """Lends requests to endpoints with a rate limit; does no I/O.
 
-    A bucket begins empty: what was lent by another before is not known.
-    Gateways learn of a change by their own answers, so that their words
-    differ for a while; the lowest counts.
+    A bucket begins empty, since the requests that another lender lent before
+    are not known. Each gateway learns of a changed limit from the answers to
+    its own requests, so that for a while gateways report different rates; the
+    lowest one applies.
     """
 
     def __init__(self):
@@ -49,19 +54,22 @@
         wanted: int,
         at_ms: int,
     ) -> Lent:
-        """Lend a gateway up to so many requests to an endpoint."""
-        self._forget(at_ms)
+        """Lend a gateway up to ``wanted`` requests to an endpoint.
+
+        ``rate_per_s`` is the endpoint's limit as known to the gateway.
+        """
+        self._remove_idle_buckets(at_ms)
         bucket = self.buckets.setdefault(endpoint, _Bucket(at_ms))
-        bucket.words = {
-            name: word
-            for name, word in bucket.words.items()
-            if at_ms - word[1] < WORD_MS
+        bucket.reports = {
+            name: report
+            for name, report in bucket.reports.items()
+            if at_ms - report[1] < REPORT_LIFETIME_MS
         }
-        bucket.words[gateway] = (rate_per_s, at_ms)
-        lowest = min(rate for rate, _ in bucket.words.values())
-        rate_per_s = _bounds.effective(lowest)
-        passed_s = max(0, at_ms - bucket.at_ms) / clock.MS_PER_SECOND
-        filled = bucket.level + rate_per_s * passed_s
+        bucket.reports[gateway] = (rate_per_s, at_ms)
+        lowest = min(rate for rate, _ in bucket.reports.values())
+        rate_per_s = _bounds.effective_rate(lowest)
+        elapsed_s = max(0, at_ms - bucket.at_ms) / clock.MS_PER_SECOND
+        filled = bucket.level + rate_per_s * elapsed_s
         bucket.level = min(_bounds.capacity(rate_per_s), filled)
         bucket.at_ms = at_ms
         count = max(0, min(wanted, int(bucket.level)))
@@ -71,11 +79,11 @@
         missing_s = (1 - bucket.level) / rate_per_s
         return Lent(0, int(missing_s * clock.MS_PER_SECOND) + 1)
 
-    def _forget(self, at_ms: int) -> None:
-        old = [
+    def _remove_idle_buckets(self, at_ms: int) -> None:
+        idle = [
             name
             for name, bucket in self.buckets.items()
-            if at_ms - bucket.at_ms >= FORGET_MS
+            if at_ms - bucket.at_ms >= IDLE_BUCKET_MS
         ]
-        for name in old:
+        for name in idle:
             del self.buckets[name]
--- a/berylhollow/rate_limits/_loan.py
+++ b/berylhollow/rate_limits/_loan.py
@@ -1,4 +1,4 @@
-"""What one gateway may send to an endpoint that has named a limit."""
+"""The requests that one gateway may send to an endpoint with a rate limit."""
 
 import dataclasses
 import math
@@ -7,127 +7,140 @@
 from berylhollow.rate_limits import _bounds
 
 ANSWER_MS = 250
-"""How long a lender's answer is waited for."""
+"""How long to wait for a lender's answer."""
 
 MISSED_MS = 1000
-"""For how long a request that found no room is a reason to ask for some."""
+"""How long a request that could not be sent is a reason to ask the lender."""
 
-LEAST_WAIT_MS = 200
-"""Before a refused caller comes back where a lender has not answered."""
+MIN_WAIT_MS = 200
+"""Shortest wait of a refused caller, also if no lender has answered."""
 
 SWITCH_MS = 1500
-"""Before another lender is asked after one was lost: what the first lent has
-ended by then, and a link that only broke is open again."""
+"""Delay before another lender is asked after one was lost. By then what the
+first one lent has expired, and a link that was only interrupted is open
+again."""
 
 
 @dataclasses.dataclass(slots=True)
 class Loan:
-    """Requests that were lent to this gateway; a pure machine.
+    """Requests to one endpoint that are lent to this gateway; does no I/O.
 
-    ``lender`` is the peer that is asked, chosen among ``candidates``. It is
-    empty without one: ``lost`` was, until ``lost_ms``.
-    ``asked_ms`` is when it was asked for what it has not answered yet, None if
-    nothing is asked. There is no more before ``room_ms``. ``missed`` counts
-    the requests that found no room since it was last asked.
+    ``lender`` is the peer that is asked, chosen among ``candidates``, and
+    empty if there is none. ``lost_lender`` is the previous one, whose link
+    was lost at ``lost_ms``.
+
+    ``lent_count`` requests may be sent until ``expires_ms``. ``asked_ms`` is
+    the time of a question that the lender has not answered yet, else None; it
+    is not asked before ``retry_ms``. ``missed_count`` is the number of
+    requests that could not be sent since it was last asked, ``missed_ms`` the
+    time of the latest one.
+
+    Without a lender, ``own_level`` is the level of the gateway's own token
+    bucket, last filled at ``own_filled_ms``.
     """
 
     lender: str = ''
     candidates: tuple[str, ...] = ()
-    lost: str = ''
+    lost_lender: str = ''
     lost_ms: int = clock.NEVER_MS
-    count: int = 0
-    until_ms: int = clock.NEVER_MS
+    lent_count: int = 0
+    expires_ms: int = clock.NEVER_MS
     asked_ms: int | None = None
-    room_ms: int = clock.NEVER_MS
-    missed: int = 0
+    retry_ms: int = clock.NEVER_MS
+    missed_count: int = 0
     missed_ms: int = clock.NEVER_MS
     own_level: float = 0.0
-    own_ms: int | None = None
+    own_filled_ms: int | None = None
 
     def room(self, at_ms: int) -> int:
         """Return how many requests may be sent now."""
-        lent = self.count if at_ms < self.until_ms else 0
+        lent = self.lent_count if at_ms < self.expires_ms else 0
         return lent + int(self.own_level)
 
     def spend(self, at_ms: int) -> None:
         """Count a request that is sent."""
-        if self.count and at_ms < self.until_ms:
-            self.count -= 1
+        if self.lent_count and at_ms < self.expires_ms:
+            self.lent_count -= 1
         else:
             self.own_level = max(0.0, self.own_level - 1)
 
     def miss(self, at_ms: int) -> None:
-        """Count a request that found no room."""
-        self.missed += 1
+        """Count a request that could not be sent for lack of room."""
+        self.missed_count += 1
         self.missed_ms = at_ms
 
     def choose(self, lender: str, at_ms: int) -> bool:
-        """Take the lender that is the right one now; tell if it changed."""
+        """Set the lender and tell whether it changed.
+
+        After a lender was lost, another one is taken only after
+        ``SWITCH_MS``; the same one is taken back at once.
+        """
         if lender == self.lender:
             return False
         if self.lender and not lender:
-            self.lost = self.lender
+            self.lost_lender = self.lender
             self.lost_ms = at_ms
-        elif lender != self.lost and at_ms - self.lost_ms < SWITCH_MS:
+        elif lender != self.lost_lender and at_ms - self.lost_ms < SWITCH_MS:
             return False
         self.lender = lender
         self.asked_ms = None
-        self.room_ms = at_ms
+        self.retry_ms = at_ms
         return True
 
     def due(self, at_ms: int) -> bool:
-        """Tell whether the lender is to be asked now."""
-        if not self.lender or at_ms < self.room_ms or self.room(at_ms):
+        """Tell whether the lender should be asked now."""
+        if not self.lender or at_ms < self.retry_ms or self.room(at_ms):
             return False
-        return not self.is_asked(at_ms) and self.is_missed(at_ms)
+        return not self.is_asked(at_ms) and self.has_recent_miss(at_ms)
 
     def is_asked(self, at_ms: int) -> bool:
-        """Tell whether the lender's answer is still to come."""
+        """Tell whether the lender's answer may still arrive."""
         asked_ms = self.asked_ms
         return asked_ms is not None and at_ms - asked_ms < ANSWER_MS
 
-    def is_missed(self, at_ms: int) -> bool:
-        """Tell whether requests have found no room of late."""
-        return self.missed > 0 and at_ms - self.missed_ms < MISSED_MS
+    def has_recent_miss(self, at_ms: int) -> bool:
+        """Tell whether requests could not be sent recently."""
+        return self.missed_count > 0 and at_ms - self.missed_ms < MISSED_MS
 
     def ask(self, rate_per_s: float, at_ms: int) -> int:
-        """Return how many requests to ask for."""
-        most = math.ceil(_bounds.capacity(rate_per_s))
-        wanted = min(max(1, self.missed), most)
-        self.missed = 0
+        """Return how many requests to ask for, and note that it is asked."""
+        limit = math.ceil(_bounds.capacity(rate_per_s))
+        wanted = min(max(1, self.missed_count), limit)
+        self.missed_count = 0
         self.asked_ms = at_ms
         return wanted
 
     def lent(self, count: int, wait_ms: int, at_ms: int) -> None:
-        """Take the lender's answer; one that comes too late is dropped."""
+        """Take the lender's answer; one that arrives too late is dropped."""
         if not self.is_asked(at_ms):
             return
         if count:
-            self.count = count
-            self.until_ms = self.asked_ms + _bounds.LOAN_MS
-        self.room_ms = at_ms + wait_ms
+            self.lent_count = count
+            self.expires_ms = self.asked_ms + _bounds.LOAN_MS
+        self.retry_ms = at_ms + wait_ms
         self.asked_ms = None
 
     def wait_ms(self, at_ms: int) -> int:
-        """Return when there may be room, as far as is known."""
-        return max(LEAST_WAIT_MS, self.room_ms - at_ms)
+        """Return the estimated time until a request may be sent."""
+        return max(MIN_WAIT_MS, self.retry_ms - at_ms)
 
     def fill_own(self, rate_per_s: float, gateways: int, at_ms: int) -> None:
-        """Save up an equal part of the rate while there is no lender.
+        """Fill the own bucket with an equal part of the rate.
 
-        Only where all gateways may do so at once.
+        Only while there is no lender, and only if there are so few gateways
+        that all of them may do so at once.
         """
-        before_ms, self.own_ms = self.own_ms, at_ms
-        apart = gateways <= _bounds.most_apart(rate_per_s)
-        if self.lender or not apart:
+        before_ms, self.own_filled_ms = self.own_filled_ms, at_ms
+        may_fill = gateways <= _bounds.max_gateways_without_lender(rate_per_s)
+        if self.lender or not may_fill:
             self.own_level = 0.0
-            self.own_ms = None
+            self.own_filled_ms = None
             return
         if before_ms is None or at_ms - self.lost_ms < SWITCH_MS:
             return
-        rate = _bounds.effective(rate_per_s) / max(1, gateways)
+        rate = _bounds.effective_rate(rate_per_s) / max(1, gateways)
         gained = rate * (at_ms - before_ms) / clock.MS_PER_SECOND
         self.own_level = min(1.0, self.own_level + gained)
-        self.room_ms = at_ms + int(
+        self.retry_ms = at_ms + int(
             (1 - self.own_level) / rate * clock.MS_PER_SECOND
         )
--- a/test/test_rate_loans.py
+++ b/test/test_rate_loans.py
@@ -1,4 +1,4 @@
-"""Requests to an endpoint with a limit are lent to gateways one by one."""
+"""Tests of rate limits: requests that a lender lends to gateways."""
 
 import random
 import unittest
@@ -9,7 +9,7 @@
 
 
 class LenderTest(unittest.TestCase):
-    """A sidecar that is asked by several gateways."""
+    """A lender that is asked by several gateways."""
 
     def setUp(self):
         self.lender = rate_limits.Lender()
@@ -18,23 +18,23 @@
         return self.lender.lend(gateway, ENDPOINT, rate_per_s, wanted, at_ms)
 
     def test_new_lender_has_nothing_to_lend(self):
-        """Guards against a second burst from a lender that was replaced."""
+        """Guards against a second burst after a lender was replaced."""
         self.assertEqual(0, self.lend(0, wanted=9).count)
         self.assertEqual(1, self.lend(600).count)
 
-    def test_wait_is_when_there_is_room(self):
+    def test_wait_is_the_time_until_there_is_room(self):
         wait_ms = self.lend(0).wait_ms
         self.assertEqual(0, self.lend(wait_ms - 2).count)
         self.assertEqual(1, self.lend(wait_ms).count)
 
-    def test_lowest_word_counts_while_gateways_differ(self):
+    def test_lowest_reported_rate_applies(self):
         self.lend(0, rate_per_s=1.0, gateway='g2')
         self.lend(0, rate_per_s=100.0)
         self.assertEqual(0, self.lend(900, 100.0, 9).count)
         self.assertGreater(self.lend(2500, 100.0, 9).count, 1)
 
-    def test_endpoint_that_takes_nothing_is_asked_now_and_then(self):
-        """Guards against a limit of nothing whose end is never heard of."""
+    def test_endpoint_with_a_limit_of_zero_gets_an_occasional_request(self):
+        """Guards against a limit of zero whose end is never noticed."""
         self.lend(0, rate_per_s=0.0)
         self.assertEqual(0, self.lend(5000, rate_per_s=0.0).count)
         self.assertEqual(1, self.lend(10_000, rate_per_s=0.0).count)
@@ -50,15 +50,15 @@
         if self.loan.due(at_ms):
             self.loan.ask(2.0, at_ms)
 
-    def test_what_was_lent_ends(self):
-        """Guards against loans that are saved up and sent at one moment."""
+    def test_loan_expires(self):
+        """Guards against loans that are saved up and used all at once."""
         self.ask(0)
         self.loan.lent(1, 0, 10)
         self.assertEqual(1, self.loan.room(900))
         self.assertEqual(0, self.loan.room(1000))
 
-    def test_answer_of_a_lender_before_counts_no_more(self):
-        """Guards against what two lenders lend for the same moment."""
+    def test_answer_of_a_former_lender_is_ignored(self):
+        """Guards against two lenders that lend for the same time."""
         self.ask(0)
         self.loan.choose('', 5)
         self.loan.choose('s2', 2000)
@@ -70,12 +70,12 @@
         self.assertFalse(self.loan.choose('s2', 1000))
         self.assertTrue(self.loan.choose('s2', 1700))
 
-    def test_nobody_waits_for_an_answer_for_long(self):
+    def test_answer_is_not_awaited_for_long(self):
         self.ask(0)
         self.assertTrue(self.loan.is_asked(100))
         self.assertFalse(self.loan.is_asked(300))
 
-    def test_without_a_lender_few_gateways_take_equal_parts(self):
+    def test_without_a_lender_few_gateways_use_equal_parts(self):
         for gateways, room in ((4, 1), (100, 0)):
             with self.subTest(gateways=gateways):
                 loan = rate_limits.Loan()
@@ -85,34 +85,34 @@
 
 
 class BoundTest(unittest.TestCase):
-    """Many gateways that ask two lenders in any order.
+    """Many gateways that ask two lenders in random order.
 
-    Guards against loans that add up to more than the endpoint takes: half as
-    much again and five requests in any four seconds.
+    Guards against loans that exceed the bound together: one and a half times
+    the rate, plus five requests, in any four seconds.
     """
 
-    def test_sent_never_exceeds_what_is_taken(self):
+    def test_requests_sent_never_exceed_the_bound(self):
         for seed in range(30):
             with self.subTest(seed=seed):
-                self.play(random.Random(seed))
+                self.simulate(random.Random(seed))
 
-    def play(self, chance):
-        rate_per_s = chance.choice((0.0, 0.3, 1.0, 2.5, 7.0, 40.0))
+    def simulate(self, rng):
+        rate_per_s = rng.choice((0.0, 0.3, 1.0, 2.5, 7.0, 40.0))
         lenders = [rate_limits.Lender(), rate_limits.Lender()]
-        loans = [rate_limits.Loan() for _ in range(chance.choice((3, 30)))]
+        loans = [rate_limits.Loan() for _ in range(rng.choice((3, 30)))]
         lender = 0
         sent = []
         for at_ms in range(0, 20_000, 20):
-            if chance.random() < 0.001:
+            if rng.random() < 0.001:
                 lender = 1 - lender
                 lenders[lender] = rate_limits.Lender()
             for loan in loans:
                 if loan.lender != str(lender):
                     loan.choose('', at_ms)
                     loan.choose(str(lender), at_ms)
-                if chance.random() < 0.1:
+                if rng.random() < 0.1:
                     self.ask(loan, lenders[lender], rate_per_s, at_ms)
-                if loan.room(at_ms) and chance.random() < 0.3:
+                if loan.room(at_ms) and rng.random() < 0.3:
                     loan.spend(at_ms)
                     sent.append(at_ms)
             sent = [sent_ms for sent_ms in sent if sent_ms > at_ms - 4000]
