--- a/berylhollow/workspaces/__init__.py
+++ b/berylhollow/workspaces/__init__.py
@@ -1,4 +1,4 @@
-"""Workspaces: who may call, with which keys and how much."""
+"""Workspaces: the callers, their API keys and their quotas."""
 
 from berylhollow.workspaces._allowance import Allowance
 from berylhollow.workspaces._book import Book
--- a/berylhollow/workspaces/_book.py
+++ b/berylhollow/workspaces/_book.py
@@ -1,27 +1,28 @@
-"""What all gateways together have used of each quota: added up beside them.
+"""Usage totals of each quota, added up over all gateways.
 
-A book lends nothing and decides nothing. Any process that all gateways have a
-link to can keep one, and as many may as like: each adds up what it is told.
+A book only counts; it lends nothing and decides nothing. Any process that all
+gateways are linked to can keep one, and there may be several: each adds up
+what gateways report to it.
 """
 
 import collections
 import dataclasses
 
 FORGET_MS = 3_000
-"""After so long without word a gateway's counters are forgotten. Guards
-against a gateway that had another sidecar keep its book meanwhile: what it
+"""How long after its last report a gateway's counters are forgotten. Guards
+against a gateway that reported to another sidecar's book meanwhile: what it
 spent there would count here as if it were spent now."""
 
-ASKED_MS = 1500
-"""For how long a gateway's demand counts after its last word."""
+DEMAND_LIFETIME_MS = 1500
+"""How long a gateway's demand counts after its last report."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Use:
     """What one gateway has used of a workspace's quota, by its own count.
 
-    ``spent`` counts from the start of the gateway, ``asked_per_s`` is what
-    its callers ask for, served or not.
+    ``spent`` counts from the start of the gateway's process, ``asked_per_s``
+    is the demand of its callers, whether they are served or not.
     """
 
     workspace: str
@@ -31,10 +32,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sum:
-    """What all gateways have used and ask for, and the part of one of them.
+    """Usage and demand over all gateways, and the part of one gateway.
 
-    ``spent`` counts from some time on, so only its changes tell anything.
-    ``askers`` is at how many gateways callers ask for something.
+    ``spent`` counts from an arbitrary start, so that only its changes are
+    meaningful. ``askers`` is the number of gateways with any demand.
     """
 
     workspace: str
@@ -46,27 +47,31 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Word:
-    """The last word of one gateway; ``counts`` while its demand does."""
+class _Report:
+    """The last report of a gateway.
+
+    ``is_demand_counted`` is True while its demand is in the totals.
+    """
 
     incarnation: str
     uses: dict[str, Use]
     at_ms: int
-    counts: bool = True
+    is_demand_counted: bool = True
 
 
 class Book:
-    """Sums of what gateways tell; a pure machine.
+    """Adds up what gateways report; does no I/O.
 
-    What a gateway spent before its first word here is not counted: it may
-    have been running for long. The sums are kept word by word, as gateways
-    tell several times a second each; ``words`` has the latest last.
+    What a gateway spent before its first report here is not counted, since
+    it may have been running for long. The totals are updated with each
+    report, as gateways report several times a second each; ``reports`` is
+    ordered by time, the latest last.
     """
 
     def __init__(self):
-        self.words: dict[str, _Word] = {}
+        self.reports: dict[str, _Report] = {}
         self.spent: dict[str, int] = {}
-        self.asked: collections.Counter[str] = collections.Counter()
+        self.demand: collections.Counter[str] = collections.Counter()
         self.askers: collections.Counter[str] = collections.Counter()
 
     def tell(
@@ -76,21 +81,21 @@
         uses: tuple[Use, ...],
         at_ms: int,
     ) -> tuple[Sum, ...]:
-        """Take a gateway's word and return the sums as they are now."""
-        self._lapse(at_ms)
-        before = self.words.pop(gateway, None)
+        """Take a gateway's report and return the totals after it."""
+        self._expire_silent(at_ms)
+        before = self.reports.pop(gateway, None)
         known = {}
         if before is not None:
-            self._end_demand(before)
+            self._remove_demand(before)
             if before.incarnation == incarnation:
                 known = before.uses
-        word = _Word(incarnation, {x.workspace: x for x in uses}, at_ms)
-        for name, use in word.uses.items():
+        report = _Report(incarnation, {x.workspace: x for x in uses}, at_ms)
+        for name, use in report.uses.items():
             spent = self.spent.setdefault(name, 0)
             if name in known:
                 self.spent[name] = spent + use.spent - known[name].spent
-        self.words[gateway] = word
-        self._count(word, 1)
+        self.reports[gateway] = report
+        self._add_demand(report, 1)
         return tuple(map(self._sum, uses))
 
     def _sum(self, own: Use) -> Sum:
@@ -98,31 +103,31 @@
         return Sum(
             name,
             self.spent[name],
-            self.asked[name],
+            self.demand[name],
             own.spent,
             own.asked_per_s,
             self.askers[name],
         )
 
-    def _lapse(self, at_ms: int) -> None:
-        """End the demand of gateways that fell silent, then forget them."""
+    def _expire_silent(self, at_ms: int) -> None:
+        """Remove the demand of silent gateways, later their counters."""
         forgotten = []
-        for gateway, word in self.words.items():
-            silent_ms = at_ms - word.at_ms
-            if silent_ms < ASKED_MS:
+        for gateway, report in self.reports.items():
+            silent_ms = at_ms - report.at_ms
+            if silent_ms < DEMAND_LIFETIME_MS:
                 break
-            self._end_demand(word)
+            self._remove_demand(report)
             if silent_ms >= FORGET_MS:
                 forgotten.append(gateway)
         for gateway in forgotten:
-            del self.words[gateway]
+            del self.reports[gateway]
 
-    def _end_demand(self, word: _Word) -> None:
-        if word.counts:
-            word.counts = False
-            self._count(word, -1)
+    def _remove_demand(self, report: _Report) -> None:
+        if report.is_demand_counted:
+            report.is_demand_counted = False
+            self._add_demand(report, -1)
 
-    def _count(self, word: _Word, sign: int) -> None:
-        for name, use in word.uses.items():
-            self.asked[name] += sign * use.asked_per_s
+    def _add_demand(self, report: _Report, sign: int) -> None:
+        for name, use in report.uses.items():
+            self.demand[name] += sign * use.asked_per_s
             self.askers[name] += sign * (use.asked_per_s > 0)
--- a/berylhollow/workspaces/_types.py
+++ b/berylhollow/workspaces/_types.py
@@ -1,11 +1,11 @@
-"""What is declared of a workspace, as frozen data."""
+"""Declarations of workspaces and quotas, as frozen data."""
 
 import dataclasses
 import enum
 
 
 class Unit(enum.Enum):
-    """What a quota counts."""
+    """The unit that a quota is counted in."""
 
     REQUESTS = 'requests'
     TOKENS = 'tokens'
@@ -15,8 +15,8 @@
 class Quota:
     """What a workspace may use over all gateways together.
 
-    ``rate_per_s`` and ``burst`` are in ``unit``. A request that does not tell
-    its tokens counts as ``plain_tokens``.
+    ``rate_per_s`` and ``burst`` are in ``unit``. A request that does not
+    state its number of tokens counts as ``plain_tokens``.
     """
 
     unit: Unit
@@ -26,11 +26,11 @@
 
     @property
     def capacity(self) -> float:
-        """What a bucket holds: the burst, or half a second's worth."""
+        """The bucket's capacity: the burst, at least half a second's rate."""
         return max(1.0, self.burst, self.rate_per_s / 2)
 
     def cost(self, tokens: int) -> int:
-        """Return what a request of so many tokens, 0 if unknown, counts."""
+        """Return the cost of a request; ``tokens`` is 0 if unknown."""
         if self.unit is Unit.REQUESTS:
             return 1
         return tokens or self.plain_tokens
@@ -38,28 +38,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tolerance:
-    """How exactly quotas have to hold over all gateways together.
+    """How far a quota may be exceeded over all gateways together.
 
-    In any ``window_s`` seconds more than the rate and the burst come to may be
-    used: ``overrun`` times that, and ``slack`` in the unit of the quota.
+    In any ``window_s`` seconds the rate and the burst may be exceeded by
+    ``overrun`` times their sum, plus ``slack`` in the unit of the quota.
     """
 
     window_s: float = 1.0
     overrun: float = 0.0
     slack: float = 0.0
 
-    def of(self, quota: Quota) -> float:
-        """Return how much more may be used of a quota in a window."""
-        most = quota.rate_per_s * self.window_s + quota.burst
-        return self.overrun * most + self.slack
+    def allowed_excess(self, quota: Quota) -> float:
+        """Return by how much a quota may be exceeded in a window."""
+        nominal = quota.rate_per_s * self.window_s + quota.burst
+        return self.overrun * nominal + self.slack
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
     """A workspace and the digests of its keys.
 
-    ``priority`` goes before that of a route, None leaves it to the route;
-    without a ``quota`` it is not limited.
+    ``priority`` overrides that of the route unless it is None. Without a
+    ``quota`` usage is not limited.
     """
 
     name: str
--- a/test/workspaces/test_quota_bound.py
+++ b/test/workspaces/test_quota_bound.py
@@ -1,8 +1,8 @@
-"""A quota over all gateways holds in every window, whatever fails.
+"""Property test: a shared quota holds in every window, whatever fails.
 
-Guards against use that exceeds what was bought: a full burst in each of many
-new processes, shares that two gateways both believe theirs, and what is
-spent by those that are cut off while the others take it over.
+Guards against use beyond the quota: a full burst in each of many new
+processes, a share that two gateways both use, and spending by gateways that
+are cut off while the others take over their share.
 """
 
 import unittest
@@ -23,7 +23,7 @@
 
 
 class QuotaMachine(stateful.RuleBasedStateMachine):
-    """Callers that ask for as much as they like while processes fail."""
+    """Callers exceed the quota while processes and connections fail."""
 
     @stateful.initialize(
         rate=rates, burst=bursts, seed=strategies.integers(0, 1000)
@@ -34,7 +34,7 @@
         self.fleet.advance(3000)
 
     def flood(self, numbers, cost, duration_ms):
-        """Callers ask for six times the quota at some gateways."""
+        """Send six times the quota's rate to some gateways."""
         step_ms = quota_model.STEP_MS
         wanted = 6 * self.fleet.quota.rate_per_s * step_ms / 1000
         owed = 0.0
@@ -64,7 +64,7 @@
         duration_ms=durations,
     )
     def kill(self, numbers, cost, times, duration_ms):
-        """Processes are killed and come back, one time after the other."""
+        """Kill and restart gateways repeatedly under load."""
         for _ in range(times):
             for number in numbers:
                 self.fleet.restart(number)
@@ -84,7 +84,7 @@
         duration_ms=durations,
     )
     def cut(self, numbers, books, cost, duration_ms):
-        """Some gateways hear no book, or not all; all callers go on."""
+        """Cut some gateways off from one or both books under load."""
         cut = {(n, book) for n in numbers for book in books}
         self.fleet.cut |= cut
         self.flood(range(GATEWAYS), cost, duration_ms)
@@ -92,13 +92,13 @@
         self.fleet.cut -= cut
 
     @stateful.rule(
-        numbers=groups, still=groups, cost=costs, duration_ms=durations
+        numbers=groups, frozen=groups, cost=costs, duration_ms=durations
     )
-    def freeze(self, numbers, still, cost, duration_ms):
-        for number in still:
+    def freeze(self, numbers, frozen, cost, duration_ms):
+        for number in frozen:
             self.fleet.gateways[number].frozen = True
         self.flood(numbers, cost, duration_ms)
-        for number in still:
+        for number in frozen:
             self.fleet.gateways[number].frozen = False
         self.flood(numbers, cost, duration_ms)
 
@@ -114,8 +114,8 @@
     @stateful.invariant()
     def check(self):
         if hasattr(self, 'fleet'):
-            over = self.fleet.over()
-            assert over <= 0, f'{over} more than may be used'
+            excess = self.fleet.over()
+            assert excess <= 0, f'quota exceeded by {excess}'
 
 
 QuotaBoundTest = QuotaMachine.TestCase
