--- a/berylhollow/gateway/_counts.py
+++ b/berylhollow/gateway/_counts.py
@@ -1,20 +1,22 @@
-"""What a gateway's reducer counts, read off its effects."""
+"""Metric counts derived from the effects of a gateway's reducer."""
 
 from berylhollow import effects
 from berylhollow.gateway import _state
 from berylhollow import messages
 
 
-def of(state: _state.State, done: list[effects.Effect]) -> list[effects.Count]:
-    """Return the counts of one event; errors are counted by the shell."""
+def count_attempts(
+    state: _state.State, emitted: list[effects.Effect]
+) -> list[effects.Count]:
+    """Return the attempt counts of one event; the shell counts errors."""
     counts = []
-    for effect in done:
+    for effect in emitted:
         if isinstance(effect, effects.Send):
-            counts += _attempt(state, effect.message)
+            counts += _count_attempt(state, effect.message)
     return counts
 
 
-def _attempt(
+def _count_attempt(
     state: _state.State, message: messages.Message
 ) -> list[effects.Count]:
     if not isinstance(message, messages.Offer):
--- a/berylhollow/gateway/_limits.py
+++ b/berylhollow/gateway/_limits.py
@@ -1,8 +1,8 @@
-"""What one caller or one adapter may have at a gateway at once.
+"""Limits of one caller and of one adapter at a gateway.
 
-A limit that the configuration declares holds over all gateways; each takes
-an equal share of it, since the platform's balancer spreads callers evenly. A
-gateway that asked the others before every request would wait for them.
+A limit declared in the configuration applies to all gateways together; each
+takes an equal share of it, since the platform's balancer spreads callers
+evenly. Asking the other gateways would delay every request.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """A limit that a request meets, and when to come back."""
+    """Why a request is refused, and after how long to retry."""
 
     kind: errors.Kind
     retry_after_ms: int
@@ -27,15 +27,15 @@
 def admit(
     state: _state.State, request: events.Request, at_ms: int
 ) -> Refusal | None:
-    """Return why a request is over a limit; None counts it as admitted.
+    """Admit and count a request, or return why it is refused.
 
-    The rate is taken last, so that a request refused for another reason
-    does not use the caller's rate up.
+    The rate is checked last, so that a request refused for another reason
+    does not use up the caller's rate.
     """
     options = state.options
     if len(state.requests) >= options.requests_in_flight:
         return Refusal(errors.Kind.OVERLOADED, options.limit_retry_ms)
-    caller = _caller(state, request.caller)
+    caller = _get_or_add_caller(state, request.caller)
     if caller.in_flight >= caller.in_flight_limit:
         return Refusal(errors.Kind.CALLER_LIMIT, options.limit_retry_ms)
     in_flight = state.adapter_in_flight.get(request.adapter, 0)
@@ -51,7 +51,7 @@
 
 
 def release(state: _state.State, request: events.Request) -> None:
-    """Give back what a request counted for."""
+    """Stop counting a request as in flight."""
     state.callers[request.caller].in_flight -= 1
     left = state.adapter_in_flight[request.adapter] - 1
     if left:
@@ -60,28 +60,28 @@
         del state.adapter_in_flight[request.adapter]
 
 
-def forget_idle(state: _state.State, at_ms: int) -> bool:
-    """Forget callers that were idle long enough to have all their rate.
+def remove_idle_callers(state: _state.State, at_ms: int) -> bool:
+    """Remove callers idle for long enough that their rate has refilled.
 
-    Returns whether it was time to look for some.
+    Returns whether a check for idle callers was due.
 
-    Guards against memory that grows with every name a caller makes up.
+    Without it memory would grow with every name that a caller makes up.
     """
     if at_ms < state.callers_swept_ms + state.options.caller_idle_ms:
         return False
     state.callers_swept_ms = at_ms
-    oldest = at_ms - state.options.caller_idle_ms
+    oldest_ms = at_ms - state.options.caller_idle_ms
     idle = [
         name
         for name, caller in state.callers.items()
-        if caller.in_flight == 0 and caller.seen_ms < oldest
+        if caller.in_flight == 0 and caller.seen_ms < oldest_ms
     ]
     for name in idle:
         del state.callers[name]
     return True
 
 
-def _caller(state: _state.State, name: str) -> _state.Caller:
+def _get_or_add_caller(state: _state.State, name: str) -> _state.Caller:
     caller = state.callers.get(name)
     if caller is None:
         options = state.options
@@ -90,20 +90,25 @@
         )
         caller = _state.Caller(rate)
         state.callers[name] = caller
-    _declare(state, name, caller)
+    _update_limits(state, name, caller)
     return caller
 
 
-def _declare(state: _state.State, name: str, caller: _state.Caller) -> None:
-    """Take the caller's limits from the configuration in force."""
-    view = state.follower.current
+def _update_limits(
+    state: _state.State, name: str, caller: _state.Caller
+) -> None:
+    """Update a caller's limits from the configuration in force."""
+    configuration = state.follower.current
     gateways = 1 + len(state.peers)
-    if (caller.revision, caller.gateways) == (view.revision, gateways):
+    if (caller.revision, caller.gateways) == (
+        configuration.revision,
+        gateways,
+    ):
         return
-    caller.revision = view.revision
+    caller.revision = configuration.revision
     caller.gateways = gateways
     options = state.options
-    limits = view.caller(name).limits
+    limits = configuration.caller(name).limits
     caller.in_flight_limit = options.caller_in_flight
     if limits.in_flight is not None:
         caller.in_flight_limit = math.ceil(limits.in_flight / gateways)
--- a/berylhollow/gateway/_notices.py
+++ b/berylhollow/gateway/_notices.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves in their answers to our requests."""
+"""Handles notices: what endpoints say of themselves in their answers."""
 
 import dataclasses
 
@@ -9,16 +9,16 @@
 
 Effects = list[effects.Effect]
 
-MOST_ABSENT = 256
-"""Endpoints off the list whose word is kept."""
+MAX_ABSENT_NOTICES = 256
+"""Number of notices kept of endpoints that left the instance list."""
 
 
 def received(state: _state.State, event: events.NoticeReceived) -> Effects:
-    """Keep the newest word of an endpoint, and any that it leaves.
+    """Keep the newest notice of an endpoint, and any that it is leaving.
 
-    Answers overtake each other: guards against an older one that brings back
-    what the endpoint has ended. One that was not understood changes nothing.
-    An endpoint that leaves does so for good, whichever answer said it.
+    Answers may arrive out of order: an older one must not restore a limit
+    that the endpoint has ended. A malformed notice leaves the limit as it is.
+    Leaving is final, whichever answer announced it.
     """
     endpoint = state.endpoints.get(event.peer)
     if endpoint is None:
@@ -32,12 +32,14 @@
         notice = dataclasses.replace(notice, rate_per_s=before.rate_per_s)
     endpoint.notice_sent_ms = max(endpoint.notice_sent_ms, event.sent_ms)
     endpoint.notice = dataclasses.replace(notice, leaving=leaving)
-    done = _malformed(endpoint, before, event) + _pause(endpoint, event)
-    done += _leaving(endpoint, before, event)
-    return done + _rate_limit(state, endpoint, before, event)
+    emitted = _note_malformed(endpoint, before, event) + _apply_pause(
+        endpoint, event
+    )
+    emitted += _apply_leaving(endpoint, before, event)
+    return emitted + _apply_rate_limit(state, endpoint, before, event)
 
 
-def _malformed(
+def _note_malformed(
     endpoint: _state.Endpoint,
     before: events.EndpointNotice,
     event: events.NoticeReceived,
@@ -51,7 +53,7 @@
     ]
 
 
-def _leaving(
+def _apply_leaving(
     endpoint: _state.Endpoint,
     before: events.EndpointNotice,
     event: events.NoticeReceived,
@@ -65,8 +67,10 @@
     ]
 
 
-def _pause(endpoint: _state.Endpoint, event: events.NoticeReceived) -> Effects:
-    """Take a pause from when it was heard of; none is cut short."""
+def _apply_pause(
+    endpoint: _state.Endpoint, event: events.NoticeReceived
+) -> Effects:
+    """Start a pause when its notice arrives; never shorten one."""
     until_ms = event.at_ms + event.notice.pause_ms
     if not event.notice.pause_ms or until_ms <= endpoint.paused_until_ms:
         return []
@@ -77,7 +81,7 @@
     ]
 
 
-def _rate_limit(
+def _apply_rate_limit(
     state: _state.State,
     endpoint: _state.Endpoint,
     before: events.EndpointNotice,
@@ -100,31 +104,31 @@
 
 
 def forget(state: _state.State, endpoint: _state.Endpoint) -> None:
-    """Keep the word of an endpoint that left the list: it may come back.
+    """Keep the notice of an endpoint that left the list: it may come back.
 
-    Its entry lapses in an outage of the store while it lives.
+    In an outage of the store the entry of a live endpoint may expire.
     """
     if endpoint.notice_sent_ms == clock.NEVER_MS:
         return
     name = endpoint.instance.instance
-    state.absent[name] = _state.Word(
+    state.absent_notices[name] = _state.StoredNotice(
         endpoint.notice, endpoint.notice_sent_ms, endpoint.paused_until_ms
     )
-    if len(state.absent) > MOST_ABSENT:
-        del state.absent[next(iter(state.absent))]
+    if len(state.absent_notices) > MAX_ABSENT_NOTICES:
+        del state.absent_notices[next(iter(state.absent_notices))]
 
 
 def recall(state: _state.State, endpoint: _state.Endpoint) -> None:
-    """Bring back what an endpoint said before it left the list."""
+    """Restore the notice that an endpoint gave before it left the list."""
     name = endpoint.instance.instance
-    word = state.absent.pop(name, None)
-    if word is None:
+    stored = state.absent_notices.pop(name, None)
+    if stored is None:
         return
-    endpoint.notice = word.notice
-    endpoint.notice_sent_ms = word.sent_ms
-    endpoint.paused_until_ms = word.paused_until_ms
-    endpoint.leaving = endpoint.leaving or word.notice.leaving
-    if word.notice.rate_per_s is not None:
+    endpoint.notice = stored.notice
+    endpoint.notice_sent_ms = stored.sent_ms
+    endpoint.paused_until_ms = stored.paused_until_ms
+    endpoint.leaving = endpoint.leaving or stored.notice.leaving
+    if stored.notice.rate_per_s is not None:
         state.rate_limited[name] = None
 
 
--- a/berylhollow/gateway/_options.py
+++ b/berylhollow/gateway/_options.py
@@ -1,4 +1,4 @@
-"""What the settings decide for a gateway's reducer."""
+"""Options of a gateway's reducer."""
 
 import dataclasses
 
@@ -8,46 +8,53 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Options:
-    """Limits and times of one gateway; durations in milliseconds.
+    """Limits and durations of one gateway; durations in milliseconds.
 
-    ``attempts`` bounds the attempts of one request. ``link_retry_ms`` is
-    the pause before a refused link is opened again, doubled each time up
-    to ``link_retry_most_ms``; after a link that carried nothing broke it
-    is up to ``link_spread_ms``. ``links_opening`` bounds those opened at a
-    time. For ``settle_ms`` after its start a gateway lets requests wait
-    for links. ``leaving_retry_ms`` is the pause before a link is opened to
-    an endpoint that was leaving, ``resume_ms`` how long a broken link may
-    take to come back before its answers are given up. ``not_run_ms`` is
-    how long a resumed attempt's "not run" is believed; it must be shorter
-    than sidecars remember ended attempts. ``claim_ms`` bounds the wait for
-    the log's decision about a key, ``claim_window_ms`` is how long a key
-    is held; it must be shorter than the log's retention. With more than
-    ``claim_direct_gateways`` gateways claims go through a leader for each
-    partition. ``retry_share`` retries are allowed for each first attempt,
-    ``retry_reserve`` at once. Limits of callers and adapters are this
-    gateway's own. ``eject_failures`` in a row eject an endpoint for
-    ``eject_ms``, doubled each time. ``peer_fanout`` is how many other
-    gateways this one opens a link to. ``policy`` names the adapter policy,
-    ``load_interval_ms`` is what one load takes of the weight store.
-    ``loads_per_s`` and ``loads_burst`` are its limits, ``loads_at_once``
-    is how many it serves at full speed. A permit lapses after
-    ``load_lapse_ms`` at least, a wish that is not said again after
-    ``load_wish_ms``. With ``needs_instances`` a gateway is not ready
-    before it has read the instance list; when that is older than
-    ``instance_lost_ms`` it is asked for every ``instance_retry_ms``.
-    ``sidecar_port`` is where sidecars beside direct endpoints take links.
-    A request waits for its adapter for ``adapter_wait_share`` of its
-    objective and is asked to come back after ``adapter_retry_ms``; while
-    it waits the choice is made again every ``adapter_check_ms``. Sidecars
-    are told of the demand at least every ``demand_ms`` while something of
-    ours is at their endpoint, else every ``idle_demand_ms``, well before
-    they forget it. With ``lost_retry_free`` an attempt that was lost with
-    its endpoint may be repeated once outside the budget; not where all
-    repeats count for it. With ``budget_by_caller`` each caller has a budget
-    of its own. Keys are not used for ``neighbours_ms`` after the start unless
-    another gateway's revision is known. A gateway whose proof of the keys is
-    as old as ``keys_ready_ms`` is not ready for callers. ``quota_tolerance``
-    is how exactly quotas have to hold.
+    ``attempts`` limits the attempts of one request. ``link_retry_ms`` is the
+    back-off before a refused link is opened again, doubled each time up to
+    ``link_retry_most_ms``; after a link broke that carried nothing it is a
+    random time up to ``link_spread_ms``. ``links_opening`` limits how many
+    links are being opened at a time. For ``settle_ms`` after its start a
+    gateway lets requests wait for links. ``leaving_retry_ms`` is the back-off
+    before a link is opened to an endpoint that was leaving. ``resume_ms`` is
+    how long a broken link may take to come back before its answers are given
+    up. ``not_run_ms`` is how long a resumed attempt's "not run" is trusted; it
+    must be shorter than sidecars remember ended attempts.
+
+    ``claim_ms`` is the timeout of the log's decision about a key,
+    ``claim_window_ms`` is how long a key is held; it must be shorter than the
+    log's retention. With more than ``claim_direct_gateways`` gateways claims
+    go through a leader for each partition.
+
+    ``retry_share`` is the number of retries allowed per first attempt,
+    ``retry_reserve`` the number allowed at once. With ``lost_retry_free`` an
+    attempt that was lost with its endpoint may be repeated once without using
+    the retry budget; it is off where the budget has to bound all repeats. With
+    ``budget_by_caller`` each caller has a budget of its own. Limits of callers
+    and adapters are those of this gateway alone. ``eject_failures`` in a row
+    eject an endpoint for ``eject_ms``, doubled each time. ``peer_fanout`` is
+    how many other gateways this one opens a link to.
+
+    ``policy`` names the adapter policy. ``load_interval_ms`` is how much of
+    the weight store's time one load takes; ``loads_per_s`` and ``loads_burst``
+    are the store's limits, ``loads_at_once`` is how many loads it serves at
+    full speed. A permit expires after ``load_lapse_ms`` at the earliest, a
+    wanted load that is not repeated after ``load_wish_ms``. A request waits
+    for its adapter for ``adapter_wait_share`` of its objective, and its caller
+    is then told to retry after ``adapter_retry_ms``; while it waits, the
+    endpoint is chosen anew every ``adapter_check_ms``.
+
+    With ``needs_instances`` a gateway is not ready before it has read the
+    instance list; a list older than ``instance_lost_ms`` is requested every
+    ``instance_retry_ms``. ``sidecar_port`` is where sidecars beside direct
+    endpoints accept links. Demand is sent to sidecars at least every
+    ``demand_ms`` while this gateway has requests at their endpoint, else every
+    ``idle_demand_ms``, well before they forget it.
+
+    Keys are not used for ``neighbours_ms`` after the start unless another
+    gateway's revision is known. A gateway whose proof of the keys is as old as
+    ``keys_ready_ms`` is not ready for callers. ``quota_tolerance`` is how far
+    usage may deviate from a quota.
     """
 
     instance: str
--- a/berylhollow/gateway/_quarantine.py
+++ b/berylhollow/gateway/_quarantine.py
@@ -1,10 +1,10 @@
-"""Requests that crash endpoints, as a gateway handles them.
+"""Quarantine of requests that crash endpoints.
 
-Guards against one request that takes the fleet down: it crashes an endpoint,
-and a retry or its caller's resend carries it to the next. It shows as
-engines that restart one after the other. The sidecar that saw the crash
-tells all its gateways before it says that the attempts are lost; a suspect
-then runs only with nothing beside it, and one that crashes alone is refused.
+Guards against one request that takes down every endpoint: it crashes one, and
+a retry or its caller's resend carries it to the next. The symptom is engines
+that restart one after the other. The sidecar that detects the crash tells all
+its gateways before it reports the attempts as lost; a suspect request then
+runs only in isolation, and one that crashes an endpoint there is refused.
 """
 
 from berylhollow import effects
@@ -20,19 +20,19 @@
 def refused_ms(
     state: _state.State, request: events.Request, at_ms: int
 ) -> int:
-    """Return for how long a request is refused; 0 if it is not."""
+    """Return for how long a request is quarantined, 0 if it is not."""
     return state.suspects.quarantined_ms(request.fingerprint, at_ms)
 
 
 def must_isolate(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> bool:
-    """Tell whether a request may run only with nothing beside it."""
+    """Tell whether a request may run only with no other beside it."""
     return state.suspects.suspect(active.request.fingerprint, at_ms)
 
 
 def crashed(state: _state.State, event: events.MessageReceived) -> Effects:
-    """A sidecar, or a gateway for it, tells of a crash."""
+    """Record a crash told by a sidecar or gateway; forward it to peers."""
     message: messages.Crashed = event.message
     crash = quarantine.Crash(
         message.crash_id, message.service, message.fingerprints
@@ -40,61 +40,65 @@
     if message.crash_id in state.crashes_told:
         return []
     state.crashes_told[message.crash_id] = event.at_ms
-    done = _count(state, crash, event.at_ms)
-    passed_on = [
+    emitted = _record_crash(state, crash, event.at_ms)
+    forwarded = [
         effects.Send(peer, message)
         for peer in state.peer_links
         if peer != event.peer
     ]
-    return done + passed_on
+    return emitted + forwarded
 
 
 def seen(state: _state.State, crash: quarantine.Crash, at_ms: int) -> Effects:
-    """Count a crash that this gateway saw itself."""
+    """Record a crash that this gateway detected itself."""
     state.crashes_told[crash.crash_id] = at_ms
-    return _count(state, crash, at_ms)
+    return _record_crash(state, crash, at_ms)
 
 
 def succeeded(state: _state.State, active: _state.ActiveRequest) -> None:
-    """A suspect that ran well on its own is cleared."""
+    """Clear a suspect request that succeeded in isolation."""
     if active.isolated:
         state.suspects.clear(active.request.fingerprint)
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Forget old suspicions; look for what others put on the log."""
+    """Remove old suspicions; read new quarantine records from the log."""
     if at_ms < state.quarantine_read_at_ms:
         return []
     state.quarantine_read_at_ms = at_ms + state.options.quarantine_poll_ms
     state.suspects.forget(at_ms)
-    oldest = at_ms - state.options.suspicion.suspect_ms
-    told = {k: v for k, v in state.crashes_told.items() if v >= oldest}
-    state.crashes_told = told
+    oldest_ms = at_ms - state.options.suspicion.suspect_ms
+    recent = {
+        crash_id: seen_ms
+        for crash_id, seen_ms in state.crashes_told.items()
+        if seen_ms >= oldest_ms
+    }
+    state.crashes_told = recent
     return [effects.ReadLog(quarantine.STREAM, state.quarantine_offset)]
 
 
 def log_read(state: _state.State, event: events.LogRead) -> Effects:
-    """Take in crashes and lifts that were put on the log."""
-    done: Effects = []
+    """Apply the crash and lift records that were read from the log."""
+    emitted: Effects = []
     for entry in event.entries:
         if entry.offset < state.quarantine_offset:
             continue
         state.quarantine_offset = entry.offset + 1
-        done += _recorded(state, entry, event.at_ms)
+        emitted += _apply_record(state, entry, event.at_ms)
     state.quarantine_offset = max(state.quarantine_offset, event.first_offset)
-    return done
+    return emitted
 
 
 def log_read_failed(
     state: _state.State, event: events.LogReadFailed
 ) -> Effects:
-    """Go on from the oldest kept record if ours are gone."""
+    """Continue at the oldest kept record if the next one was removed."""
     if event.first_offset is not None:
         state.quarantine_offset = event.first_offset
     return []
 
 
-def _recorded(
+def _apply_record(
     state: _state.State, entry: messages.LogEntry, at_ms: int
 ) -> Effects:
     try:
@@ -108,10 +112,10 @@
     if record.crash_id in state.crashes_told:
         return []
     state.crashes_told[record.crash_id] = at_ms
-    return _count(state, record, at_ms)
+    return _record_crash(state, record, at_ms)
 
 
-def _count(
+def _record_crash(
     state: _state.State, crash: quarantine.Crash, at_ms: int
 ) -> Effects:
     return [
--- a/berylhollow/gateway/_quotas.py
+++ b/berylhollow/gateway/_quotas.py
@@ -1,8 +1,8 @@
-"""Quotas of workspaces: what this gateway may let through of each.
+"""Quotas of workspaces: how much of each this gateway may admit.
 
-A few sidecars keep books of what all gateways have used. All gateways rank
-them alike, tell each of them what they have spent and hear the sums. None of
-this is on the path of a request.
+A few sidecars keep books: each sums up what all gateways have used. All
+gateways rank the sidecars alike, report their usage to the first ones and
+receive the sums. None of this is on the path of a request.
 """
 
 from berylhollow import clock
@@ -16,16 +16,17 @@
 
 Effects = list[effects.Effect]
 
-BOOKS = 2
-"""Sidecars that keep books for us. Gateways that know of one more or one less
-of them still have one in common."""
+BOOK_COUNT = 2
+"""Number of sidecars that keep books. With two, gateways that know of one
+sidecar more or less than others still have a book in common."""
 
-TELL_MS = 200
-"""Between two words of what was spent. What is spent meanwhile elsewhere is
-not seen, and is missing afterwards."""
+USE_REPORT_INTERVAL_MS = 200
+"""Interval between reports of usage. What other gateways use meanwhile is not
+seen, and is missing from the quota afterwards."""
 
-IDLE_TELL_MS = 600
-"""Between two words where nothing was asked for, before sums are stale."""
+IDLE_USE_REPORT_INTERVAL_MS = 600
+"""Interval between reports while nothing is asked for; short enough that the
+sums do not become stale."""
 
 
 def wait_ms(
@@ -34,21 +35,21 @@
     tokens: int,
     at_ms: int,
 ) -> int:
-    """Return when a request may come back for its quota, 0 if it is in it."""
-    allowance = _allowance(state, workspace, at_ms)
+    """Return how long until the quota allows a request, 0 if it does now."""
+    allowance = _get_or_add_allowance(state, workspace, at_ms)
     if allowance is None:
         return 0
     return allowance.wait_ms(workspace.quota.cost(tokens), at_ms)
 
 
-def ask(
+def record_demand(
     state: _state.State,
     workspace: workspaces.Workspace | None,
     tokens: int,
     at_ms: int,
 ) -> None:
-    """Count what is asked for, whether it is let through or not."""
-    allowance = _allowance(state, workspace, at_ms)
+    """Count the tokens that a request asks for, admitted or not."""
+    allowance = _get_or_add_allowance(state, workspace, at_ms)
     if allowance is not None:
         allowance.ask(workspace.quota.cost(tokens), at_ms)
 
@@ -56,8 +57,8 @@
 def reserve(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> None:
-    """Count a request that is going to be sent on."""
-    allowance = _allowance(state, active.workspace, at_ms)
+    """Reserve quota for a request that is about to be sent."""
+    allowance = _get_or_add_allowance(state, active.workspace, at_ms)
     if allowance is None:
         return
     active.cost = active.workspace.quota.cost(active.request.head.tokens)
@@ -66,10 +67,10 @@
 
 
 def over(state: _state.State, active: _state.ActiveRequest, at_ms: int) -> int:
-    """Return how long another run of a request has to wait for its quota.
+    """Return how long another run of a request must wait for its quota.
 
-    The first one was reserved for when it came; each that may have run
-    counts.
+    The reservation made on arrival covers the first run; each further run
+    that may have happened counts again.
     """
     if active.reserved or not active.cost:
         return 0
@@ -80,19 +81,19 @@
 def sent_on(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> None:
-    """A request is sent to an endpoint."""
+    """Charge a request sent to an endpoint, reserving quota if needed."""
     if active.cost and not active.reserved:
         reserve(state, active, at_ms)
     active.reserved = False
 
 
 def not_run(active: _state.ActiveRequest) -> None:
-    """An endpoint has proven that it did not run what was sent."""
+    """Restore the reservation of a request that is proven not to have run."""
     active.reserved = bool(active.cost)
 
 
 def finish(state: _state.State, active: _state.ActiveRequest) -> None:
-    """Give back what was reserved and not used."""
+    """Give back quota that was reserved and not used."""
     if not active.reserved:
         return
     active.reserved = False
@@ -102,62 +103,66 @@
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Tell the books what was spent, when it is time."""
+    """Report usage to the books when it is due."""
     if not state.allowances:
         return []
-    since_ms = at_ms - state.quotas_told_ms
+    since_ms = at_ms - state.quota_uses_reported_ms
     books = state.quota_books
-    is_told = books == state.quota_books_told
-    if since_ms < TELL_MS and is_told:
+    books_unchanged = books == state.quota_books_reported_to
+    if since_ms < USE_REPORT_INTERVAL_MS and books_unchanged:
         return []
     _forget_undeclared(state)
     uses = tuple(
         allowance.use(name, at_ms)
         for name, allowance in sorted(state.allowances.items())
     )
-    same = uses == state.quotas_told and is_told
-    if same and since_ms < IDLE_TELL_MS:
+    unchanged = uses == state.quota_uses_reported and books_unchanged
+    if unchanged and since_ms < IDLE_USE_REPORT_INTERVAL_MS:
         return []
-    done: Effects = []
-    if not is_told:
+    emitted: Effects = []
+    if not books_unchanged:
         fields = (('books', ' '.join(books)), ('quotas', len(uses)))
-        done.append(effects.Log('books of quotas chosen', fields))
-    state.quota_books_told = books
-    state.quotas_told = uses
-    state.quotas_told_ms = at_ms
+        emitted.append(effects.Log('books of quotas chosen', fields))
+    state.quota_books_reported_to = books
+    state.quota_uses_reported = uses
+    state.quota_uses_reported_ms = at_ms
     for allowance in state.allowances.values():
         allowance.gateways = state.gateways
         allowance.forget_stale(at_ms)
-    word = messages.QuotaUses(uses)
-    return done + [effects.Send(peer, word) for peer in books]
+    report = messages.QuotaUses(uses)
+    return emitted + [effects.Send(peer, report) for peer in books]
 
 
 def declared(state: _state.State, at_ms: int) -> None:
-    """Take the quotas of the configuration that is newly in force.
+    """Apply the quotas of a configuration that has just come into force.
 
-    Books are told of all of them, so that what others have spent is known
-    before the first request for a workspace comes.
+    All of them are reported to the books, so that the usage of others is
+    known before the first request of a workspace arrives.
     """
-    view = state.follower.current
-    for workspace in view.declared_workspaces if view is not None else ():
-        allowance = _allowance(state, workspace, at_ms)
+    configuration = state.follower.current
+    for workspace in (
+        configuration.declared_workspaces if configuration is not None else ()
+    ):
+        allowance = _get_or_add_allowance(state, workspace, at_ms)
         if allowance is not None:
             allowance.declare(workspace.quota)
 
 
-def heard(state: _state.State, event: events.MessageReceived) -> Effects:
-    """A book says what all have spent."""
-    for found in event.message.sums:
-        allowance = state.allowances.get(found.workspace)
+def sums_received(
+    state: _state.State, event: events.MessageReceived
+) -> Effects:
+    """Apply the sums of all gateways' usage that a book has sent."""
+    for quota_sum in event.message.sums:
+        allowance = state.allowances.get(quota_sum.workspace)
         if allowance is not None:
-            draw = spread.fraction(state.seed, found.workspace)
+            draw = spread.fraction(state.seed, quota_sum.workspace)
             allowance.heard(
-                event.peer, event.message.book, found, draw, event.at_ms
+                event.peer, event.message.book, quota_sum, draw, event.at_ms
             )
     return []
 
 
-def _allowance(
+def _get_or_add_allowance(
     state: _state.State,
     workspace: workspaces.Workspace | None,
     at_ms: int,
@@ -171,22 +176,26 @@
         )
         allowance.gateways = state.gateways
         state.allowances[workspace.name] = allowance
-        state.quotas_told_ms = clock.NEVER_MS
+        state.quota_uses_reported_ms = clock.NEVER_MS
     return allowance
 
 
 def _forget_undeclared(state: _state.State) -> None:
-    view = state.follower.current
-    limited = {w.name for w in view.declared_workspaces if w.quota is not None}
+    configuration = state.follower.current
+    limited = {
+        w.name
+        for w in configuration.declared_workspaces
+        if w.quota is not None
+    }
     for name in [n for n in state.allowances if n not in limited]:
         del state.allowances[name]
 
 
 def choose(state: _state.State) -> None:
-    """Choose the sidecars that keep books, of those linked now."""
+    """Choose the sidecars that keep books, among those linked now."""
     linked = [
         peer
         for peer, sidecar in state.sidecars.items()
         if sidecar.link is _state.LinkPhase.OPEN
     ]
-    state.quota_books = sorted(linked, key=rendezvous.digest)[:BOOKS]
+    state.quota_books = sorted(linked, key=rendezvous.digest)[:BOOK_COUNT]
--- a/berylhollow/gateway/_rate_limits.py
+++ b/berylhollow/gateway/_rate_limits.py
@@ -1,8 +1,8 @@
-"""Endpoints with a limit: who may send them the next request.
+"""Rate limits of endpoints: which gateway may send the next request.
 
-An endpoint names a rate that holds over all gateways. One sidecar, which all
-gateways choose alike, lends them single requests; a gateway without a loan
-sends nothing there.
+An endpoint's rate limit applies to all gateways together. One sidecar, which
+all gateways choose alike, is the lender: it lends them single requests. A
+gateway without a loan sends nothing to the endpoint.
 """
 
 from berylhollow import clock
@@ -15,8 +15,8 @@
 
 Effects = list[effects.Effect]
 
-UNKNOWN_GATEWAYS = 1000
-"""Taken for their number before any sidecar has told it."""
+ASSUMED_GATEWAYS = 1000
+"""Number of gateways assumed before any sidecar has reported it."""
 
 
 def has_room(
@@ -25,20 +25,20 @@
     endpoint: _state.Endpoint,
     at_ms: int,
 ) -> bool:
-    """Tell whether a request may be sent to an endpoint, as to its limit.
+    """Tell whether an endpoint's rate limit allows it a request now.
 
-    Those that wait there for their adapter come before it.
+    Requests that already wait there for their adapter go first.
     """
     if endpoint.notice.rate_per_s is None:
         return True
     name = endpoint.instance.instance
     waiting = state.awaiting.get(name, {})
-    before = len(waiting) - (active.request.request_id in waiting)
-    return endpoint.loan.room(at_ms) > before
+    ahead = len(waiting) - (active.request.request_id in waiting)
+    return endpoint.loan.room(at_ms) > ahead
 
 
 def spend(endpoint: _state.Endpoint, at_ms: int) -> None:
-    """Count a request that is sent to an endpoint."""
+    """Count a sent request against the endpoint's rate limit."""
     if endpoint.notice.rate_per_s is not None:
         endpoint.loan.spend(at_ms)
 
@@ -46,8 +46,8 @@
 def without_room(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> list[_state.Endpoint]:
-    """Return the endpoints that only their limit keeps from a request."""
-    found = []
+    """Return the endpoints ruled out for a request only by a rate limit."""
+    limited = []
     for name in state.rate_limited:
         endpoint = state.endpoints.get(name)
         if (
@@ -57,19 +57,19 @@
             and endpoint.usable_at(at_ms)
             and not has_room(state, active, endpoint, at_ms)
         ):
-            found.append(endpoint)
-    return found
+            limited.append(endpoint)
+    return limited
 
 
 def missed(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> Effects:
-    """Ask for room wherever a request finds none."""
-    done: Effects = []
+    """Ask the lender of each endpoint whose rate limit rules it out."""
+    emitted: Effects = []
     for endpoint in without_room(state, active, at_ms):
         endpoint.loan.miss(at_ms)
-        done += _ask(state, endpoint, at_ms)
-    return done
+        emitted += _request_loan(state, endpoint, at_ms)
+    return emitted
 
 
 def may_await(
@@ -77,9 +77,9 @@
     endpoints: list[_state.Endpoint],
     at_ms: int,
 ) -> bool:
-    """Tell whether a lender may say in a moment that there is room.
+    """Tell whether a request may wait for a lender's answer.
 
-    However often lenders are asked, a request waits for one answer only.
+    It waits for the time of one answer only, however often lenders are asked.
     """
     if active.room_asked_ms is None:
         active.room_asked_ms = at_ms
@@ -89,10 +89,10 @@
 
 
 def wait_ms(endpoints: list[_state.Endpoint], seed: float, at_ms: int) -> int:
-    """Return when a caller may come back that found no room anywhere.
+    """Return the retry delay of a caller refused by rate limits.
 
-    Spread over the time until there is room for another one, since all that
-    were refused would come back at the same moment.
+    Spread over the interval between two requests at the combined rate, as all
+    refused callers would otherwise retry at the same moment.
     """
     first_ms = min(endpoint.loan.wait_ms(at_ms) for endpoint in endpoints)
     rate_per_s = sum(endpoint.notice.rate_per_s for endpoint in endpoints)
@@ -101,10 +101,10 @@
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Ask lenders again, save up where there is none."""
+    """Choose and ask lenders; without one, accumulate a share of the rate."""
     if not state.rate_limited:
         return []
-    done: Effects = []
+    emitted: Effects = []
     linked = tuple(
         peer
         for peer, sidecar in state.sidecars.items()
@@ -115,17 +115,17 @@
         if endpoint is None or endpoint.notice.rate_per_s is None:
             del state.rate_limited[name]
             continue
-        done += _choose_lender(endpoint, linked, at_ms)
+        emitted += _choose_lender(endpoint, linked, at_ms)
         rate_per_s = endpoint.notice.rate_per_s
-        endpoint.loan.fill_own(rate_per_s, _gateways(state), at_ms)
-        done += _ask(state, endpoint, at_ms)
-    return done
+        endpoint.loan.fill_own(rate_per_s, _gateway_count(state), at_ms)
+        emitted += _request_loan(state, endpoint, at_ms)
+    return emitted
 
 
-def lent(
+def rate_lent(
     state: _state.State, event: events.MessageReceived
 ) -> list[_state.ActiveRequest]:
-    """Take a lender's answer; return the requests that may wait for it."""
+    """Apply a lender's answer; return the requests that may wait for it."""
     message = event.message
     endpoint = state.endpoints.get(message.endpoint)
     if endpoint is None or endpoint.loan.lender != event.peer:
@@ -143,7 +143,10 @@
 def _choose_lender(
     endpoint: _state.Endpoint, linked: tuple[str, ...], at_ms: int
 ) -> Effects:
-    """Rank the sidecars where links have changed, not at every tick."""
+    """Choose a lender if there is none or the linked sidecars have changed.
+
+    The sidecars are not ranked again at every tick.
+    """
     loan = endpoint.loan
     if loan.lender and loan.candidates == linked:
         return []
@@ -158,7 +161,7 @@
     return [effects.Log('lender of a rate limit chosen', fields)]
 
 
-def _ask(
+def _request_loan(
     state: _state.State, endpoint: _state.Endpoint, at_ms: int
 ) -> Effects:
     loan = endpoint.loan
@@ -171,7 +174,7 @@
     return [effects.Send(loan.lender, wanted)]
 
 
-def _gateways(state: _state.State) -> int:
+def _gateway_count(state: _state.State) -> int:
     if all(sidecar.heard_ms < 0 for sidecar in state.sidecars.values()):
-        return UNKNOWN_GATEWAYS
+        return ASSUMED_GATEWAYS
     return state.gateways
--- a/berylhollow/gateway/_reducer.py
+++ b/berylhollow/gateway/_reducer.py
@@ -1,4 +1,4 @@
-"""One reducer over all events of a gateway."""
+"""The gateway's reducer: passes each event to its handler."""
 
 from berylhollow import claims
 from berylhollow import effects
@@ -30,12 +30,12 @@
 def reduce(
     state: _state.State, event: events.Event
 ) -> tuple[_state.State, Effects]:
-    """Take one event in and return the state and what is to be done."""
+    """Apply one event; return the state and the effects to carry out."""
     handler = _HANDLERS.get(type(event))
     if handler is None:
         return state, []
-    done = handler(state, event)
-    return state, done + _counts.of(state, done)
+    emitted = handler(state, event)
+    return state, emitted + _counts.count_attempts(state, emitted)
 
 
 def _started(state: _state.State, event: events.Started) -> Effects:
@@ -48,17 +48,17 @@
 
 def _ticked(state: _state.State, event: events.Ticked) -> Effects:
     state.seed = event.seed
-    done = _membership.tick(state, event.at_ms)
-    done += _peers.tick(state, event.at_ms)
-    done += _membership.tick_follower(state, event.at_ms)
-    done += _requests.tick(state, event.at_ms)
-    done += _claims.tick(state, event.at_ms)
-    done += _quarantine.tick(state, event.at_ms)
-    done += _quotas.tick(state, event.at_ms)
-    done += _rate_limits.tick(state, event.at_ms)
-    done += _coordinator.tick(state, event.at_ms)
-    done += _shutdown.tick(state, event.at_ms)
-    return done
+    emitted = _membership.tick(state, event.at_ms)
+    emitted += _peers.tick(state, event.at_ms)
+    emitted += _membership.tick_follower(state, event.at_ms)
+    emitted += _requests.tick(state, event.at_ms)
+    emitted += _claims.tick(state, event.at_ms)
+    emitted += _quarantine.tick(state, event.at_ms)
+    emitted += _quotas.tick(state, event.at_ms)
+    emitted += _rate_limits.tick(state, event.at_ms)
+    emitted += _coordinator.tick(state, event.at_ms)
+    emitted += _shutdown.tick(state, event.at_ms)
+    return emitted
 
 
 def _received(state: _state.State, event: events.MessageReceived) -> Effects:
@@ -71,27 +71,29 @@
 def _reported(state: _state.State, event: events.MessageReceived) -> Effects:
     if event.peer not in state.sidecars:
         return _membership.reported(state, event)
-    done: Effects = []
+    emitted: Effects = []
     for active in _sidecars.reported(state, event):
-        done += _attempts.place(state, active, event.at_ms)
-    return done
+        emitted += _attempts.place(state, active, event.at_ms)
+    return emitted
 
 
-def _noticed(state: _state.State, event: events.NoticeReceived) -> Effects:
-    done = _notices.received(state, event)
+def _notice_received(
+    state: _state.State, event: events.NoticeReceived
+) -> Effects:
+    emitted = _notices.received(state, event)
     endpoint = state.endpoints.get(event.peer)
     if endpoint is None or not endpoint.leaving:
-        return done
+        return emitted
     for active in _adapters.waiting_at(state, event.peer):
-        done += _attempts.place(state, active, event.at_ms)
-    return done
+        emitted += _attempts.place(state, active, event.at_ms)
+    return emitted
 
 
-def _lent(state: _state.State, event: events.MessageReceived) -> Effects:
-    done: Effects = []
-    for active in _rate_limits.lent(state, event):
-        done += _attempts.place(state, active, event.at_ms)
-    return done
+def _rate_lent(state: _state.State, event: events.MessageReceived) -> Effects:
+    emitted: Effects = []
+    for active in _rate_limits.rate_lent(state, event):
+        emitted += _attempts.place(state, active, event.at_ms)
+    return emitted
 
 
 def _link_opened(state: _state.State, event: events.LinkOpened) -> Effects:
@@ -166,7 +168,7 @@
     events.CallerGone: _requests.caller_gone,
     events.AnswerRelayed: _requests.relayed,
     events.AnswerBroken: _requests.broken,
-    events.NoticeReceived: _noticed,
+    events.NoticeReceived: _notice_received,
     events.LogRead: _log_read,
     events.LogReadFailed: _log_read_failed,
     events.LogChecked: _log_checked,
@@ -182,8 +184,8 @@
     messages.Crashed: _quarantine.crashed,
     messages.Report: _reported,
     messages.StreamPart: _shared_reads.heard,
-    messages.QuotaSums: _quotas.heard,
-    messages.RateLent: _lent,
+    messages.QuotaSums: _quotas.sums_received,
+    messages.RateLent: _rate_lent,
     messages.LoadWanted: _coordinator.wanted,
     messages.LoadEnded: _coordinator.ended,
     messages.Started: _attempts.started,
--- a/berylhollow/gateway/_requests.py
+++ b/berylhollow/gateway/_requests.py
@@ -1,4 +1,4 @@
-"""A request from its arrival to its final answer."""
+"""Handles a request from its arrival to its final answer."""
 
 import dataclasses
 
@@ -21,11 +21,11 @@
 
 
 def arrived(state: _state.State, event: events.RequestArrived) -> Effects:
-    """Check a request against the configuration and place it."""
+    """Check a request against configuration, quota and limits; place it."""
     request = event.request
     if state.stopping:
         return [refusal(request.request_id, errors.Kind.LEAVING)]
-    terms = _terms(state, event)
+    terms = _resolve_terms(state, event)
     if isinstance(terms, errors.Kind):
         return [refusal(request.request_id, terms)]
     workspace = terms.workspace
@@ -42,7 +42,7 @@
         kind = errors.Kind.QUARANTINED
         return [refusal(request.request_id, kind, refused_ms)]
     tokens = request.head.tokens
-    _quotas.ask(state, workspace, tokens, event.at_ms)
+    _quotas.record_demand(state, workspace, tokens, event.at_ms)
     wait_ms = _quotas.wait_ms(state, workspace, tokens, event.at_ms)
     if wait_ms:
         kind = errors.Kind.QUOTA_EXCEEDED
@@ -72,13 +72,15 @@
 
 
 def head_refused(state: _state.State, event: events.HeadRefused) -> Effects:
-    """A request was refused by its head alone; its demand counts."""
-    view = state.follower.current
-    workspace = None if view is None else view.workspace(event.head)
+    """Log a request that was refused by its head, and count its demand."""
+    configuration = state.follower.current
+    workspace = (
+        None if configuration is None else configuration.workspace(event.head)
+    )
     if isinstance(workspace, errors.Kind):
         workspace = None
     if event.kind is errors.Kind.QUOTA_EXCEEDED:
-        _quotas.ask(state, workspace, event.head.tokens, event.at_ms)
+        _quotas.record_demand(state, workspace, event.head.tokens, event.at_ms)
     fields = (
         ('shown_id', event.shown_id),
         ('kind', event.kind.value),
@@ -86,16 +88,16 @@
         ('tokens', event.head.tokens),
         ('retry_after_ms', event.retry_after_ms),
         ('keys_age_ms', state.follower.keys_age_ms(event.at_ms)),
-        ('revision', view.revision if view else 0),
+        ('revision', configuration.revision if configuration else 0),
     )
     return [effects.Log('request refused', fields)]
 
 
 def caller_gone(state: _state.State, event: events.CallerGone) -> Effects:
-    """Cancel what runs for a caller that is no longer there.
+    """Cancel the request of a caller that has disconnected.
 
-    A non-idempotent run goes on: its caller will send the key again, and
-    can be told how it ended only if it ends.
+    A non-idempotent run continues: its caller will send the key again and
+    can be told the outcome only if the run ends.
     """
     active = state.requests.get(event.request_id)
     if active is None:
@@ -108,7 +110,7 @@
 
 
 def relayed(state: _state.State, event: events.AnswerRelayed) -> Effects:
-    """The caller has its whole answer."""
+    """Finish a request whose caller has the whole answer."""
     active = state.requests.get(event.request_id)
     if active is None:
         return []
@@ -121,7 +123,7 @@
 
 
 def broken(state: _state.State, event: events.AnswerBroken) -> Effects:
-    """Frames are missing that will not come: the answer can't be whole."""
+    """Give up an answer with missing frames that will never arrive."""
     active = state.requests.get(event.request_id)
     if active is None or active.attempt_id != event.attempt_id:
         return []
@@ -131,30 +133,30 @@
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """End what is past its deadline, place what still waits."""
-    done: Effects = []
-    if _limits.forget_idle(state, at_ms):
+    """End requests past their deadline, place those due for a retry."""
+    emitted: Effects = []
+    if _limits.remove_idle_callers(state, at_ms):
         _budget.forget(state)
     for active in list(state.requests.values()):
         if at_ms >= active.deadline_ms:
-            done += _expire(state, active)
+            emitted += _expire(state, active)
         elif active.resume_by_ms is not None and at_ms >= active.resume_by_ms:
-            done += _attempts.resume_failed(state, active, at_ms)
+            emitted += _attempts.resume_failed(state, active, at_ms)
         elif active.retry_at_ms is not None and at_ms >= active.retry_at_ms:
-            done += _attempts.place(state, active, at_ms)
-    return done
+            emitted += _attempts.place(state, active, at_ms)
+    return emitted
 
 
 def refusal(
     request_id: str, kind: errors.Kind, retry_after_ms: int = 0
 ) -> effects.AnswerError:
-    """Return the answer of a request that never had an attempt."""
+    """Return the error answer of a request that never had an attempt."""
     return effects.AnswerError(
         request_id, kind, errors.Ran.NOT_RUN, retry_after_ms
     )
 
 
-def _terms(
+def _resolve_terms(
     state: _state.State, event: events.RequestArrived
 ) -> following.Terms | errors.Kind:
     configuration = state.follower.current
@@ -164,14 +166,13 @@
 
 
 def _expire(state: _state.State, active: _state.ActiveRequest) -> Effects:
-    """Give the final answer at the deadline.
+    """Give the final answer of a request past its deadline.
 
-    Only a request without an attempt, now or before, is known not to have
-    run; any other may have.
+    Only a request that never had an attempt is known not to have run.
     """
     ran = errors.Ran.UNKNOWN
     if not active.offered and not active.may_have_run:
         ran = errors.Ran.NOT_RUN
-    done = _attempts.cancel(state, active)
+    emitted = _attempts.cancel(state, active)
     kind = errors.Kind.DEADLINE_EXCEEDED
-    return done + _attempts.give_up(state, active, kind, ran)
+    return emitted + _attempts.give_up(state, active, kind, ran)
--- a/berylhollow/gateway/_state.py
+++ b/berylhollow/gateway/_state.py
@@ -1,4 +1,4 @@
-"""What a gateway knows: endpoints, and the requests in flight."""
+"""State of a gateway: endpoints, sidecars, callers, requests and claims."""
 
 import dataclasses
 import enum
@@ -17,16 +17,16 @@
 from berylhollow import workspaces
 
 
-DEMAND_CONSTANT_MS = 4000.0
-"""How fast a gateway forgets the demand for an adapter.
+DEMAND_TIME_CONSTANT_MS = 4000.0
+"""Time constant with which the demand for an adapter decays.
 
-Short against the tens of seconds between shifts of demand, long against the
-second or so between two requests for an adapter that is worth a slot.
+Short compared with the tens of seconds between shifts of demand, long compared
+with the second or so between two requests for an adapter that is worth a slot.
 """
 
 
 class LinkPhase(enum.Enum):
-    """How far a link to a peer is."""
+    """State of the link to a peer."""
 
     CLOSED = 'closed'
     OPENING = 'opening'
@@ -35,22 +35,24 @@
 
 @dataclasses.dataclass(slots=True)
 class Endpoint:
-    """One endpoint's sidecar, from the instance list and from its reports.
-
-    ``placed`` is our own record of the attempts that we have in flight there;
-    it is exact where a report lags. ``placed_at_report`` is how many of them
-    the last report could know of. ``waiting_tokens`` are those of the prompts
-    that we sent there and whose answers have not begun, or that wait there
-    for their adapter; ``others_tokens`` are those of other gateways, as of
-    the last report. ``lost`` has the
-    fingerprints of requests whose run there was cut off, and when.
-    ``notice`` is what it last said of itself in an answer to a request that
-    was sent at ``notice_sent_ms``, ``loan`` what we may send it while it
-    names a limit. It wants no request before ``paused_until_ms``.
-    ``leaving`` stays for good: it has said so itself, or was found to be
-    over. ``listed`` and ``superseded`` are what the newest list says, which
-    may be mended: an entry lapses while its endpoint lives, and one of
-    another writer may name its address.
+    """An endpoint, as known from the instance list, reports and answers.
+
+    ``placed`` has the ids of this gateway's attempts in flight there; it is
+    exact, while reports lag. ``placed_at_report`` is how many there were when
+    the last report came. ``waiting_tokens`` counts the prompt tokens of this
+    gateway's requests there whose answers have not begun or that wait for
+    their adapter; ``others_tokens`` counts those of other gateways, as of the
+    last report. ``lost`` maps the fingerprints of requests whose run there
+    was interrupted to the time of it.
+
+    ``notice`` is the newest one in an answer, to a request that was sent at
+    ``notice_sent_ms``. ``loan`` is what this gateway may send while the
+    endpoint has a rate limit. No request is sent before ``paused_until_ms``.
+
+    ``leaving`` of a direct endpoint is final: it has announced it or was
+    found to have ended. ``listed`` and ``superseded`` follow the newest list
+    and may change back: an entry can expire while its endpoint is alive, and
+    an entry of another writer may name its address.
     """
 
     instance: events.Instance
@@ -81,34 +83,39 @@
 
     @property
     def moved(self) -> bool:
-        """Tell whether the link is to another address than is listed."""
+        """Whether the link goes to an address other than the listed one."""
         return self.link_address != self.instance.address
 
     @property
     def usable(self) -> bool:
+        """Whether it takes requests, apart from ejection and pauses."""
         if self.instance.direct:
             return self.listed and not (self.leaving or self.superseded)
         return self.link is LinkPhase.OPEN and not self.leaving
 
     @property
     def equipped(self) -> bool:
-        """Whether a direct endpoint holds its model, as far as is known.
+        """Whether the endpoint holds its model, as far as is known.
 
-        A new incarnation holds none until its sidecar has had it loaded.
+        A new incarnation of a direct endpoint holds none until its sidecar
+        has had it loaded.
         """
         if not self.instance.direct or self.report is None:
             return True
         return self.report.ready
 
     def usable_at(self, at_ms: int) -> bool:
-        """Tell whether the endpoint is usable, not ejected or in a pause."""
+        """Tell whether the endpoint is usable, not ejected and not paused."""
         resumes_ms = max(self.ejected_until_ms, self.paused_until_ms)
         return self.usable and at_ms >= resumes_ms
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Word:
-    """What an endpoint said in an answer to a request sent at ``sent_ms``."""
+class StoredNotice:
+    """The last notice of an endpoint that has left the instance list.
+
+    It came in the answer to a request that was sent at ``sent_ms``.
+    """
 
     notice: events.EndpointNotice
     sent_ms: int
@@ -119,9 +126,9 @@
 class Sidecar:
     """The sidecar beside a direct endpoint, which loads its adapters.
 
-    ``report`` is its last one while the link is open, ``heard_ms`` when it
-    came. ``told_ms`` is when it was last told of the demand, ``told_tokens``
-    how much it was then told of what waits.
+    ``report`` is the last one while the link is open, received at
+    ``heard_ms``. ``told_ms`` is when the demand was last sent to it,
+    ``told_tokens`` how many waiting tokens that message named.
     """
 
     address: str
@@ -136,7 +143,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Caller:
-    """What one caller has in flight, and the rate it has left."""
+    """A caller's requests in flight and its limits.
+
+    The limits were computed for the configuration ``revision`` and the number
+    of ``gateways``.
+    """
 
     rate: token_bucket.TokenBucket
     in_flight: int = 0
@@ -147,11 +158,11 @@
 
 
 class Phase(enum.Enum):
-    """How far a request is.
+    """Stage of a request.
 
-    CLAIMING waits for the log to decide about its key, WAITING has no
-    attempt at an endpoint, OFFERED one that has not begun to answer,
-    RELAYING one whose answer is on its way to the caller.
+    CLAIMING waits for the log's decision on its key, WAITING has no attempt
+    at an endpoint, OFFERED has one that is not answered yet, RELAYING has one
+    whose answer is being sent to the caller.
     """
 
     CLAIMING = 'claiming'
@@ -162,11 +173,12 @@
 
 @dataclasses.dataclass(slots=True)
 class ActiveRequest:
-    """A request whose caller has not had its whole answer.
+    """A request whose caller has not received the whole answer.
 
-    ``room_asked_ms`` is since when it waits for a lender's answer, None if
-    it does not: every endpoint left has a limit. ``key_revision`` is that of
-    the configuration in which its key was last looked up.
+    ``room_asked_ms`` is since when it waits for a lender's answer, as every
+    remaining endpoint is at its rate limit; None if it does not wait.
+    ``key_revision`` is the revision of the configuration in which its key was
+    last looked up.
     """
 
     request: events.Request
@@ -213,7 +225,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ForwardedBatch:
-    """A batch from another gateway; ``left`` entries are not appended."""
+    """A batch from another gateway; ``left`` entries are still to append."""
 
     peer: str
     batch_id: str
@@ -222,7 +234,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueuedEntry:
-    """An entry for the log, ours or part of a forwarded batch."""
+    """An entry to append, of this gateway or of a forwarded batch."""
 
     entry: claims.Entry
     batch: ForwardedBatch | None = None
@@ -230,12 +242,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Partition:
-    """One stream of claims, as far as this gateway uses it.
+    """One stream of claims, as this gateway uses it.
 
-    ``undecided`` maps the claims that the log has not decided to their
-    requests, ``forwarded`` those of other gateways to who asked. ``queue``
-    waits to be appended, ``appending`` is on its way: to the log, or to the
-    partition's ``leader``.
+    ``undecided`` maps claims that the log has not decided to their requests,
+    ``forwarded`` maps claims of other gateways to the gateway that sent them.
+    ``queue`` has the entries to be appended, ``appending`` those in flight to
+    the log or to the partition's ``leader``.
     """
 
     number: int
@@ -256,7 +268,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Wish:
-    """The load that a sidecar wants most, as it said at ``at_ms``."""
+    """The load that a sidecar wants most, received at ``at_ms``."""
 
     message: messages.LoadWanted
     at_ms: int
@@ -264,7 +276,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Permit:
-    """A permit that a sidecar has not given back."""
+    """A load permit that a sidecar has not returned."""
 
     peer: str
     granted_ms: int
@@ -273,10 +285,10 @@
 
 @dataclasses.dataclass(slots=True)
 class LoadBook:
-    """What a gateway knows as coordinator of loads.
+    """State of a gateway that coordinates loads from the weight store.
 
-    ``wishes`` has one entry a sidecar. ``granted`` numbers the permits,
-    ``load_ms`` is how long a load takes of late.
+    ``wishes`` has one entry per sidecar. ``granted`` counts the permits, which
+    it also numbers; ``load_ms`` is the smoothed duration of a load.
     """
 
     rate: token_bucket.TokenBucket
@@ -288,23 +300,25 @@
 
 @dataclasses.dataclass(slots=True)
 class State:
-    """Everything that a gateway's reducer remembers.
-
-    ``sidecars`` are those beside direct endpoints, by their peer names, and
-    ``beside`` maps a peer name to the endpoint that is listed there now.
-    ``awaiting`` holds, by endpoint, the requests that wait for an adapter
-    there; ``model_loads`` has, by service, the endpoints that need their model
-    from the weight store; ``relays`` are the sidecars that pass on what we
-    read of the platform's log, and the first of them what others read;
-    ``gateways`` is how many there are, as far as is known. ``token_ms`` is,
-    by service, how long a prompt token takes to be read; ``rate_limited`` has
-    the endpoints that name a limit, ``absent`` what those have said that left
-    the list. ``listed_ms`` is
-    when the list of instances came that is in use. ``told_revision`` is the
-    newest of the configuration that any gateway is known to have had,
-    ``started_ms`` when this one began. ``allowances`` has what may be used of
-    each workspace's quota, ``quotas_told`` what the ``quota_books`` were last
-    told.
+    """The whole state of a gateway's reducer.
+
+    ``sidecars`` are those of direct endpoints, by peer name; ``beside`` maps a
+    peer name to the endpoint that is listed there now. ``awaiting`` has, by
+    endpoint, the requests that wait for an adapter there; ``model_loads``
+    has, by service, the endpoints that need their model from the weight
+    store. ``relays`` are the sidecars that pass on what this gateway reads of
+    the platform's log; the first of them also sends it what others read.
+    ``gateways`` is the number of gateways, as far as is known. ``token_ms`` is
+    the time to process one prompt token, by service.
+
+    ``rate_limited`` has the endpoints with a rate limit, ``absent_notices``
+    the notices of endpoints that left the list. ``listed_ms`` is when the
+    instance list in use was received. ``told_revision`` is the newest
+    configuration revision that any gateway is known to have had,
+    ``started_ms`` when this gateway started.
+
+    ``allowances`` has what this gateway may use of each workspace's quota,
+    ``quota_uses_reported`` the usage last reported to the ``quota_books``.
     """
 
     options: _options.Options
@@ -316,10 +330,12 @@
     allowances: dict[str, workspaces.Allowance] = dataclasses.field(
         default_factory=dict
     )
-    quotas_told: tuple[workspaces.Use, ...] = ()
-    quotas_told_ms: int = clock.NEVER_MS
+    quota_uses_reported: tuple[workspaces.Use, ...] = ()
+    quota_uses_reported_ms: int = clock.NEVER_MS
     quota_books: list[str] = dataclasses.field(default_factory=list)
-    quota_books_told: list[str] = dataclasses.field(default_factory=list)
+    quota_books_reported_to: list[str] = dataclasses.field(
+        default_factory=list
+    )
     endpoints: dict[str, Endpoint] = dataclasses.field(default_factory=dict)
     sidecars: dict[str, Sidecar] = dataclasses.field(default_factory=dict)
     beside: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -330,13 +346,15 @@
         default_factory=dict
     )
     demand: policy.DecayedDemand = dataclasses.field(
-        default_factory=lambda: policy.DecayedDemand(DEMAND_CONSTANT_MS)
+        default_factory=lambda: policy.DecayedDemand(DEMAND_TIME_CONSTANT_MS)
     )
     relays: tuple[str, ...] = ()
     gateways: int = 1
     token_ms: dict[str, float] = dataclasses.field(default_factory=dict)
     rate_limited: dict[str, None] = dataclasses.field(default_factory=dict)
-    absent: dict[str, Word] = dataclasses.field(default_factory=dict)
+    absent_notices: dict[str, StoredNotice] = dataclasses.field(
+        default_factory=dict
+    )
     peers: dict[str, events.Instance] = dataclasses.field(default_factory=dict)
     requests: dict[str, ActiveRequest] = dataclasses.field(
         default_factory=dict
@@ -386,7 +404,7 @@
 
     @property
     def informed(self) -> bool:
-        """Whether enough is known to serve callers."""
+        """Whether the gateway has the data it needs to serve callers."""
         if self.follower.current is None:
             return False
         if not self.options.needs_instances:
@@ -394,7 +412,7 @@
         return self.listed_ms != clock.NEVER_MS
 
     def list_age_ms(self, at_ms: int) -> int:
-        """Return how old the list of instances is, -1 without one."""
+        """Return the age of the instance list, -1 without one."""
         if self.listed_ms == clock.NEVER_MS:
             return -1
         return at_ms - self.listed_ms
--- a/berylhollow/gateway/_workspaces.py
+++ b/berylhollow/gateway/_workspaces.py
@@ -1,4 +1,4 @@
-"""Whose request it is, and whether its workspace may have it run."""
+"""Checks whether the key and quota of a workspace allow a request."""
 
 import dataclasses
 
@@ -8,20 +8,20 @@
 from berylhollow.gateway import _state
 from berylhollow import workspaces
 
-ELSEWHERE_MS = 50
-"""When to come back with a key that can't be proven here: the caller's next
-connection leads to another gateway, which most likely can."""
+OTHER_GATEWAY_RETRY_MS = 50
+"""Retry delay for a key that can't be proven here. The caller's next
+connection leads to another gateway, which most likely can prove it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request is refused, and when its caller may come back."""
+    """Why a request is refused, and after how long its caller may retry."""
 
     kind: errors.Kind
     retry_after_ms: int = 0
 
 
-UNPROVEN = Refusal(errors.Kind.KEY_UNPROVEN, ELSEWHERE_MS)
+UNPROVEN = Refusal(errors.Kind.KEY_UNPROVEN, OTHER_GATEWAY_RETRY_MS)
 
 
 def refused_by_head(
@@ -33,7 +33,7 @@
     found = state.follower.current.workspace(head)
     if isinstance(found, errors.Kind):
         return Refusal(found)
-    if found is not None and not keys_proven(state, at_ms):
+    if found is not None and not has_proven_keys(state, at_ms):
         return UNPROVEN
     wait_ms = _quotas.wait_ms(state, found, head.tokens, at_ms)
     if wait_ms:
@@ -44,32 +44,31 @@
 def refused(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> Refusal | None:
-    """Return why a request is not sent to an endpoint now.
+    """Return why a request may not be sent to an endpoint now.
 
-    Guards against a key that is taken away while its request waits, and
-    against one that was checked before the process stood still.
+    Guards against a key that is revoked while its request waits, and against
+    one that was checked before the process stalled.
     """
     if active.workspace is None:
         return None
-    view = state.follower.current
-    if view.revision != active.key_revision:
-        found = view.workspace(active.request.head)
+    configuration = state.follower.current
+    if configuration.revision != active.key_revision:
+        found = configuration.workspace(active.request.head)
         if isinstance(found, errors.Kind):
             return Refusal(found)
-        if not _is_same(found, active.workspace):
+        if not _is_same_workspace(found, active.workspace):
             return Refusal(errors.Kind.UNKNOWN_KEY)
-        active.key_revision = view.revision
-    if not keys_proven(state, at_ms):
+        active.key_revision = configuration.revision
+    if not has_proven_keys(state, at_ms):
         return UNPROVEN
     return None
 
 
-def keys_proven(state: _state.State, at_ms: int) -> bool:
-    """Tell whether the keys are known well enough to use them.
+def has_proven_keys(state: _state.State, at_ms: int) -> bool:
+    """Tell whether the known keys are proven to be current.
 
-    Guards against a gateway that starts while the log lacks what its
-    operators wrote last: it would let keys in that its neighbours know to be
-    taken away.
+    Guards against a gateway that starts while the log lacks the operators'
+    last records: it would accept keys that other gateways know to be revoked.
     """
     if not state.follower.keys_hold(at_ms):
         return False
@@ -80,19 +79,21 @@
 
 
 def takes_keys(state: _state.State, at_ms: int) -> bool:
-    """Tell whether callers with keys are well served here.
+    """Tell whether callers with keys should be sent to this gateway.
 
-    Sooner not than the keys' proof ends: the balancer and the callers need
-    some time to turn elsewhere.
+    No longer so some time before the proof of the keys expires: the balancer
+    and the callers need that time to switch to another gateway.
     """
-    view = state.follower.current
-    if view is None or not view.has_workspaces:
+    configuration = state.follower.current
+    if configuration is None or not configuration.has_workspaces:
         return True
     age_ms = state.follower.keys_age_ms(at_ms)
-    return age_ms < state.options.keys_ready_ms and keys_proven(state, at_ms)
+    return age_ms < state.options.keys_ready_ms and has_proven_keys(
+        state, at_ms
+    )
 
 
-def _is_same(
+def _is_same_workspace(
     found: workspaces.Workspace | None, before: workspaces.Workspace
 ) -> bool:
     return found is not None and found.name == before.name
--- a/test/hosted/test_workspaces.py
+++ b/test/hosted/test_workspaces.py
@@ -139,7 +139,7 @@
     def test_not_ready_before_keys_are_refused(self):
         self.assertTrue(_workspaces.takes_keys(self.state, 2700))
         self.assertFalse(_workspaces.takes_keys(self.state, 2800))
-        self.assertTrue(_workspaces.keys_proven(self.state, 2800))
+        self.assertTrue(_workspaces.has_proven_keys(self.state, 2800))
 
     def test_refused_by_the_head_as_by_the_whole_request(self):
         head = events.RequestHead(
