--- a/test/hosted/test_workspaces.py
+++ b/test/hosted/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Requests of workspaces at a gateway, from their key to the endpoint."""
+"""Tests of requests of workspaces, from their key to the endpoint."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 KEY = 'asnmgkcuyj8pjbvk9m68'
 OTHER_KEY = 'k7b2ex5wa5xwyhks8nbk'
 OPEN_PATH = '/open/x'
-HANG_S = 60
+READ_TIMEOUT_S = 60
 
 
 def routes():
@@ -49,7 +49,7 @@
 
 
 class KeyTest(WorkspaceTestCase):
-    def test_request_runs_in_the_name_of_its_workspace(self):
+    def test_request_runs_as_its_workspace(self):
         self.ask()
         _, offer = self.offered()
         self.assertEqual(('hule930', 0), (offer.caller, offer.priority))
@@ -68,17 +68,17 @@
             _, offer = self.offered()
             self.assertEqual(('', 2), (offer.caller, offer.priority))
 
-    def test_key_that_is_taken_away_is_unknown(self):
+    def test_revoked_key_is_unknown(self):
         self.declare(builders.workspace('hule930', OTHER_KEY), version=8)
         self.ask()
         self.assertIs(errors.Kind.UNKNOWN_KEY, self.answer().kind)
         self.ask(key=OTHER_KEY)
         self.assertEqual('hule930', self.offered()[1].caller)
 
-    def test_key_that_is_taken_away_while_its_request_waits(self):
-        """A request waits for its adapter; its key is revoked meanwhile.
+    def test_key_revoked_while_its_request_waits(self):
+        """A key is revoked while its request waits for an adapter.
 
-        Checked at its arrival only, it would run for as long as it waited.
+        If keys were checked on arrival only, the request would still run.
         """
         self.list(
             test_gateway_direct.plain('i-1', '10.0.0.1:80'),
@@ -99,7 +99,7 @@
 
 
 class ProofTest(WorkspaceTestCase):
-    """What a gateway does while it can't prove the keys it knows."""
+    """A gateway that can't prove that its keys are current."""
 
     def setUp(self):
         super().setUp()
@@ -122,11 +122,11 @@
         self.ask(OPEN_PATH, None, at_ms=60_000)
         self.assertEqual('i-1', self.offered()[0])
 
-    def test_key_whose_proof_ends_while_its_request_waits(self):
-        """A gateway stands still with a request that waits.
+    def test_key_proof_that_expires_while_its_request_waits(self):
+        """A gateway stalls while a request waits.
 
-        The key was checked when the request came; when the gateway goes on,
-        it may have been taken away long ago.
+        The key was checked on arrival; when the gateway resumes, it may have
+        been revoked long ago.
         """
         self.list(
             test_gateway_direct.plain('i-1', '10.0.0.1:80'),
@@ -153,7 +153,7 @@
 class NeighboursTest(WorkspaceTestCase):
     """A gateway starts while the log has an older configuration.
 
-    Its neighbours know that keys in it were taken away since.
+    Other gateways know that keys in it have been revoked since.
     """
 
     def setUp(self):
@@ -167,14 +167,14 @@
     def options(self):
         return {'neighbours_ms': 1000}
 
-    def test_no_key_is_used_before_a_neighbour_was_heard(self):
+    def test_no_key_is_used_before_a_neighbour_revision_is_known(self):
         self.ask(at_ms=500)
         self.assertIs(errors.Kind.KEY_UNPROVEN, self.answer().kind)
         self.report('10.0.0.2:80', at_ms=510)
         self.ask(at_ms=520)
         self.assertEqual('i-1', self.offered()[0])
 
-    def test_gateway_that_is_alone_waits_for_a_moment_only(self):
+    def test_gateway_without_neighbours_waits_briefly(self):
         self.ask(at_ms=1000)
         self.assertEqual('i-1', self.offered()[0])
 
@@ -186,14 +186,14 @@
         self.ask(at_ms=60_010)
         self.assertEqual('i-1', self.offered()[0])
 
-    def test_own_revision_is_told_to_the_sidecars(self):
+    def test_own_revision_is_sent_to_the_sidecars(self):
         self.feed(events.Ticked(1500, 0.5))
         (demands,) = self.sent(messages.AdapterDemands)
         self.assertEqual(7, demands.revision)
 
 
 class QuotaTest(WorkspaceTestCase):
-    """A workspace may use 1,000 tokens a second; two sidecars keep books."""
+    """A quota of 1,000 tokens a second, with two sidecars that keep books."""
 
     def setUp(self):
         super().setUp()
@@ -209,9 +209,9 @@
             peer = addresses.beside(f'10.0.0.{number}:80')
             self.open_link(peer, events.Role.ENDPOINT)
         self.tick(100)
-        self.books = self.told()
-        self.hear(0, at_ms=100)
-        self.hear(0, at_ms=1100)
+        self.books = self.reported_to()
+        self.receive_sums(0, at_ms=100)
+        self.receive_sums(0, at_ms=1100)
 
     def configure(self):
         limits = builders.quota(1000)
@@ -220,8 +220,8 @@
     def tick(self, at_ms):
         self.feed(events.Ticked(at_ms, 0.5))
 
-    def told(self):
-        """Return whom the last event told what was spent."""
+    def reported_to(self):
+        """Return the peers that the last event reported usage to."""
         return [
             effect.peer
             for effect in self.of_type(effects.Send)
@@ -231,7 +231,7 @@
     def uses(self):
         return {uses.uses for uses in self.sent(messages.QuotaUses)}
 
-    def hear(self, spent, at_ms, own_spent=0):
+    def receive_sums(self, spent, at_ms, own_spent=0):
         found = workspaces.Sum('hule930', spent, 0, own_spent, 0)
         for peer in self.books:
             self.receive(messages.QuotaSums('b', (found,)), at_ms, peer)
@@ -243,10 +243,10 @@
     def spent(self):
         return self.state.allowances['hule930'].spent
 
-    def test_two_books_are_told_before_the_first_request(self):
+    def test_two_books_get_reports_before_the_first_request(self):
         self.assertEqual(2, len(self.books))
         self.tick(1300)
-        self.assertEqual(self.books, self.told())
+        self.assertEqual(self.books, self.reported_to())
 
     def test_request_within_the_quota_runs_and_counts(self):
         self.ask()
@@ -255,8 +255,8 @@
         ((use,),) = self.uses()
         self.assertEqual(400, use.spent)
 
-    def test_request_beyond_the_quota_is_refused_with_a_time(self):
-        self.hear(1000, at_ms=1100)
+    def test_request_beyond_the_quota_is_refused_with_a_retry_delay(self):
+        self.receive_sums(1000, at_ms=1100)
         self.ask()
         answer = self.answer()
         self.assertIs(errors.Kind.QUOTA_EXCEEDED, answer.kind)
@@ -265,7 +265,7 @@
         self.assertEqual(0, self.spent())
 
     def test_refused_by_the_head_and_counted_as_asked_for(self):
-        self.hear(1000, at_ms=1100)
+        self.receive_sums(1000, at_ms=1100)
         head = events.RequestHead(
             builders.HOST, '/puxa403/x', workspaces.digest(KEY), 400
         )
@@ -291,7 +291,7 @@
             (line,) = self.of_type(effects.Log)
             self.assertEqual(name, dict(line.fields)['workspace'])
 
-    def test_run_that_may_have_happened_stays_counted(self):
+    def test_run_that_may_have_happened_stays_charged(self):
         self.ask()
         self.fail_attempt(errors.Kind.ENGINE_RESTARTED, errors.Ran.UNKNOWN)
         self.assertEqual(400, self.spent())
@@ -303,7 +303,7 @@
         self.assertEqual(400, self.spent())
 
     def test_each_run_counts(self):
-        """A request that may be repeated runs a second time elsewhere."""
+        """A repeatable request that runs twice is charged twice."""
         limits = builders.quota(1000)
         record = builders.configuration_record(
             8,
@@ -313,7 +313,7 @@
         self.publish(record)
         self.ask()
         peer, offer = self.offered()
-        self.hear(400, at_ms=1200, own_spent=400)
+        self.receive_sums(400, at_ms=1200, own_spent=400)
         lost = messages.Failed(
             offer.attempt_id,
             errors.Kind.ENGINE_RESTARTED,
@@ -333,8 +333,8 @@
         self.publish(record)
         self.tick(1100)
 
-    def test_old_request_does_not_bring_its_old_quota_back(self):
-        """A request of before would run again after its quota was lowered."""
+    def test_old_request_does_not_restore_its_old_quota(self):
+        """A request from before its quota was lowered runs again."""
         self.publish_safe(8, 1000)
         self.ask()
         self.publish_safe(9, 100)
@@ -348,7 +348,7 @@
         quota = self.state.allowances['hule930'].quota
         self.assertEqual(100, quota.rate_per_s)
 
-    def test_request_that_was_never_sent_is_given_back(self):
+    def test_reservation_of_a_request_never_sent_is_returned(self):
         self.ask(path=test_gateway_direct.MODEL_PATH, adapter='a3')
         self.assertEqual(400, self.spent())
         self.feed(events.CallerGone(1200, f'r{self.sent_count}'))
@@ -362,7 +362,7 @@
         self.offered()
 
 
-class RepeatTest(WorkspaceTestCase):
+class RetryReserveTest(WorkspaceTestCase):
     def options(self):
         return super().options() | {
             'budget_by_caller': False,
@@ -370,10 +370,10 @@
             'retry_share': 0.0,
         }
 
-    def test_workspaces_share_the_reserve_of_repeats(self):
-        """The platform bounds the repeats of all callers together.
+    def test_workspaces_share_the_retry_reserve(self):
+        """The platform bounds the retries of all callers together.
 
-        With a reserve for each workspace they came to sixteen times as much.
+        With a reserve per workspace there were sixteen times as many.
         """
         keys = [f'key-{number}' for number in range(8)]
         self.declare(
@@ -385,12 +385,12 @@
                 for n in range(1, 6)
             )
         )
-        again = 0
+        retries = 0
         for key in keys:
             self.ask(key=key)
             self.fail_attempt(errors.Kind.ENDPOINT_UNREACHABLE)
-            again += len(self.offers())
-        self.assertEqual(2, again)
+            retries += len(self.offers())
+        self.assertEqual(2, retries)
 
 
 class OverTheNetworkTest(hosted_helper.HostedTestCase):
@@ -400,7 +400,7 @@
         self.gateway = await self.begin('gateway')
         await self.until_ready()
 
-    async def test_endpoint_hears_of_the_workspace_and_not_of_the_key(self):
+    async def test_endpoint_is_sent_the_workspace_and_not_the_key(self):
         await self.begin_with(builders.workspace('hule930', KEY))
         async with self.ask(
             '/puxa403/x', Api_Key=KEY, Tenant='another'
@@ -413,9 +413,9 @@
         self.assertNotIn(KEY, str(self.gateway.lines))
 
     async def test_unknown_key_is_refused_before_the_body_is_read(self):
-        """A caller without a key sends a large body, slowly.
+        """A caller without a known key sends a large body slowly.
 
-        Read first, it takes memory and time from callers who have one.
+        Reading it first would take memory and time from other callers.
         """
         await self.begin_with(builders.workspace('hule930', KEY))
         reader, writer = await asyncio.open_connection(
@@ -426,7 +426,7 @@
             b'Api-Key: %s\r\nContent-Length: 1000000\r\n\r\n'
             % (builders.HOST.encode(), OTHER_KEY.encode())
         )
-        async with asyncio.timeout(HANG_S):
+        async with asyncio.timeout(READ_TIMEOUT_S):
             head = await reader.readuntil(b'\r\n\r\n')
         writer.close()
         self.assertTrue(head.startswith(b'HTTP/1.1 401 '), head)
--- a/test/test_gateway_limits.py
+++ b/test/test_gateway_limits.py
@@ -51,7 +51,7 @@
         self.send(4, at_ms=1000)
         self.assertEqual([], self.answered())
 
-    def test_one_caller_does_not_use_up_the_others_room(self):
+    def test_caller_limit_does_not_affect_other_callers(self):
         self.start(caller_in_flight=1)
         self.send(1)
         self.send(2)
@@ -69,18 +69,18 @@
             self.send(number)
         self.assertEqual([errors.Kind.CALLER_LIMIT], self.answered())
 
-    def test_ended_request_gives_its_room_back(self):
+    def test_ended_request_no_longer_counts_as_in_flight(self):
         self.start(caller_in_flight=1, adapter_in_flight=1)
         self.send(1)
         self.feed(events.CallerGone(1, 'r1'))
         self.send(2)
         self.assertEqual([], self.answered())
 
-    def test_made_up_callers_do_not_fill_the_memory(self):
-        """A gateway's memory grows until it is replaced.
+    def test_idle_callers_are_removed(self):
+        """Guards against a gateway whose memory grows without bound.
 
-        A caller sends each request under another name. Cause: limits that
-        are remembered for every name for ever.
+        A caller sends each request under another name, and the limits of
+        every name were kept for ever.
         """
         self.start()
         for number in range(50):
@@ -93,43 +93,43 @@
 
 class RetryBudgetTest(LimitTestCase):
     def test_retries_are_a_share_of_the_traffic(self):
-        """Goodput falls when the offered load rises.
+        """Guards against goodput that falls while the offered load rises.
 
-        All endpoints refuse; every request goes to each in turn, so the
-        service does three times the work to refuse it. Cause: retries
-        without a budget.
+        Without a retry budget a request that all endpoints refuse goes to each
+        in turn, so that refusing it takes three times the work.
         """
         self.start(eject_failures=10_000)
-        tries = 0
+        offer_count = 0
         for number in range(200):
             self.send(number)
             while self.sent(messages.Offer):
-                tries += 1
+                offer_count += 1
                 self.refuse_last()
-        self.assertLessEqual(tries, 200 + 200 * 0.1 + 10)
-        self.assertGreater(tries, 200)
+        self.assertLessEqual(offer_count, 200 + 200 * 0.1 + 10)
+        self.assertGreater(offer_count, 200)
 
-    def test_work_handed_back_by_a_leaving_endpoint_needs_no_budget(self):
+    def test_refusal_by_a_leaving_endpoint_needs_no_retry_budget(self):
         self.start(retry_reserve=0, retry_share=0)
         self.send(1)
         self.refuse_last(errors.Kind.LEAVING)
         self.assertEqual(1, len(self.sent(messages.Offer)))
 
     def test_requests_of_a_lost_endpoint_are_tried_again(self):
-        """Half of the requests fail when one of three endpoints dies.
+        """Half of the requests failed when one of three endpoints died.
 
-        All that was in flight there is lost at once, which is more than the
-        budget's reserve. Cause: a lost endpoint taken for an overloaded one.
+        All requests in flight there are lost at once, which is more than the
+        reserve of the retry budget. The lost endpoint was treated like an
+        overloaded one.
         """
         self.start(retry_reserve=1, retry_share=0)
         offered = []
         for number in range(30):
             self.send(number)
             offered += self.of_type(effects.Send)
-        dead = offered[0].peer
-        self.feed(events.LinkClosed(10, dead))
+        lost_endpoint = offered[0].peer
+        self.feed(events.LinkClosed(10, lost_endpoint))
         self.feed(events.Ticked(10 + self.state.options.resume_ms))
-        lost = [send for send in offered if send.peer == dead]
+        lost = [send for send in offered if send.peer == lost_endpoint]
         self.assertGreater(len(lost), 1)
         self.assertEqual(len(lost), len(self.sent(messages.Offer)))
 
@@ -142,10 +142,10 @@
         self.assertEqual(1, len(self.sent(messages.Offer)))
 
     def test_engine_that_restarted_is_tried_again_when_its_sidecar_knows(self):
-        """The only engine restarts; a request comes before that is noticed.
+        """A request arrives before the only engine's restart is noticed.
 
-        It was refused as not run, and its caller was told so at once, as
-        there was no other endpoint to try.
+        The engine refuses it as not run. Its caller got that error at once,
+        as there was no other endpoint to try.
         """
         self.start()
         self.send(1)
@@ -165,35 +165,35 @@
         )
         self.assertEqual([], self.sent(messages.Offer))
         self.feed(events.Ticked(1000))
-        (again,) = [
+        (retried,) = [
             send
             for send in self.of_type(effects.Send)
             if isinstance(send.message, messages.Offer)
         ]
-        self.assertEqual(first.peer, again.peer)
+        self.assertEqual(first.peer, retried.peer)
 
 
 class EjectionTest(LimitTestCase):
     def test_endpoint_that_fails_fast_is_ejected(self):
-        """Most requests of a service fail with one endpoint bad.
+        """Most requests of a service failed with one faulty endpoint.
 
-        It fails at once, so it always has room and gets everything. Cause:
-        room taken for health.
+        It fails at once, so it always has free capacity, which was taken for
+        health: it was sent most requests.
         """
         self.start(eject_failures=3, attempts=1)
-        bad = None
+        faulty = None
         for number in range(20):
             self.send(number)
             (send,) = self.of_type(effects.Send)
-            bad = bad or send.peer
-            if send.peer == bad:
+            faulty = faulty or send.peer
+            if send.peer == faulty:
                 self.refuse_last()
-        self.assertTrue(self.state.endpoints[bad].ejected_until_ms)
-        self.assertNotEqual(bad, send.peer)
+        self.assertTrue(self.state.endpoints[faulty].ejected_until_ms)
+        self.assertNotEqual(faulty, send.peer)
         self.feed(events.Ticked(10_000))
-        self.assertTrue(self.state.endpoints[bad].usable_at(10_000))
+        self.assertTrue(self.state.endpoints[faulty].usable_at(10_000))
 
-    def test_half_of_the_endpoints_stay_whatever_fails(self):
+    def test_at_most_half_of_the_endpoints_are_ejected(self):
         self.start(eject_failures=1, attempts=1)
         for number in range(20):
             self.send(number)
--- a/test/test_gateway_requests.py
+++ b/test/test_gateway_requests.py
@@ -1,4 +1,4 @@
-"""Tests of bad input from callers: a typed error, nothing else disturbed."""
+"""Tests that invalid input gets a typed error and affects nothing else."""
 
 import json
 
@@ -18,7 +18,7 @@
         await self.add_sidecar()
 
     async def assert_refused(self, answer, status, kind):
-        """Check the error, and that the next request is served."""
+        """Check the error, and that a valid request is served afterwards."""
         await self.assert_problem(answer, status, kind)
         good = self.post(X_Caller='good')
         offer = await self.sidecar.next(messages.Offer)
@@ -29,7 +29,7 @@
         self.assertEqual(b'served', (await good)[2])
 
     async def test_bodies(self):
-        """Every body that is no model request of ours is refused."""
+        """Every body that is not a valid model request is refused."""
         cases = (
             (bytes(1001), 413, 'body_too_large'),
             (b'', 400, 'malformed_json'),
@@ -50,12 +50,12 @@
             with self.subTest(body=body[:40]):
                 await self.assert_refused(self.post(body), status, kind)
 
-    async def test_model_named_twice(self):
-        """A summary is written by another firm's adapter.
+    async def test_duplicate_model_member(self):
+        """Guards against a request that runs on another workspace's adapter.
 
-        The body names two models; the gateway checks the last one and the
-        engine runs the first. Cause: a member that stands twice is dropped
-        without a word, also when one of them is written with escapes.
+        The body names two models: the gateway would check the last one and
+        the engine run the first. JSON parsers silently drop a duplicate
+        member, also where one of them is written with escapes.
         """
         for second in ('model', 'mod\\u0065l'):
             body = f'{{"model": "a1@1", "{second}": "a2@1"}}'.encode()
@@ -102,17 +102,17 @@
         async with self.session.request(method, path) as response:
             return response.status, response.headers, await response.read()
 
-    async def test_methods_that_a_path_has_are_named(self):
+    async def test_allowed_methods_are_listed(self):
         _, headers, _ = await self.request('GET', '/v1/completions')
         self.assertEqual('POST', headers['Allow'])
 
-    async def test_whole_url_is_taken_for_its_path(self):
+    async def test_absolute_request_target_is_accepted(self):
         reader, _ = await self.raw(
             b'GET http://g:80/healthz HTTP/1.1\r\nHost: g\r\n\r\n'
         )
         self.assertIn(b' 200 ', await reader.readline())
 
-    async def test_what_only_a_raw_connection_sends(self):
+    async def test_malformed_requests_on_a_raw_connection(self):
         request = builders.http_post
         cases = (
             (b'no HTTP at all\r\n\r\n', 'bad_request'),
@@ -150,7 +150,7 @@
                 self.assertEqual(kind, problem['kind'], head)
                 self.assertEqual('not_run', problem['ran'])
 
-    async def test_body_that_waits_for_a_word_is_asked_for(self):
+    async def test_expect_100_continue_gets_an_interim_response(self):
         head, _, body = builders.http_post(
             '{"model": "a1@1"}', '/v1/completions', 'Expect: 100-continue'
         ).partition(b'\r\n\r\n')
@@ -161,7 +161,7 @@
         offer = await self.sidecar.next(messages.Offer)
         self.assertEqual(body, offer.body)
 
-    async def test_own_pages(self):
+    async def test_health_metrics_and_status_pages(self):
         for path in ('/healthz', '/readyz', '/metrics', '/status'):
             async with self.session.get(path) as response:
                 self.assertEqual(200, response.status, path)
@@ -174,7 +174,7 @@
             ('e1', 'open'), (endpoint['instance'], endpoint['link'])
         )
 
-    async def test_models_are_those_that_can_be_named(self):
+    async def test_models_lists_servable_versions(self):
         follower = self.shell.driver.state.follower
         declared = manifest.Manifest(
             adapters=(
