--- a/berylhollow/loader/__init__.py
+++ b/berylhollow/loader/__init__.py
@@ -1,8 +1,9 @@
-"""The sidecar beside a direct endpoint: it orders which adapters it holds.
+"""The sidecar of a direct endpoint: loads and unloads its adapters.
 
-Requests go to the endpoint without it, so an endpoint whose sidecar is gone
-serves what it holds. Only the sidecar sends orders: it stands on the same
-instance, reads the endpoint's report fresh, and no election is needed.
+Requests bypass the sidecar, so an endpoint that loses it keeps serving the
+adapters that it holds. Only the sidecar sends orders to the endpoint: it runs
+on the same instance and reads the endpoint's current state, so no leader
+election is needed.
 """
 
 from berylhollow.loader._reducer import reduce
--- a/berylhollow/loader/_demand.py
+++ b/berylhollow/loader/_demand.py
@@ -1,8 +1,8 @@
-"""What all gateways together need of one endpoint's adapters.
+"""Demand for the adapters of one endpoint, summed over all gateways.
 
-The sums are kept up to date as each gateway tells. Added up anew whenever they
-are looked at, which is more than a hundred times a second, they grow with the
-gateways: with sixty they were the largest part of a sidecar's processor.
+The sums are updated with each message of a gateway. They are read more than a
+hundred times a second, and the cost of recomputing them grows with the number
+of gateways: with sixty it was the largest part of a sidecar's processor time.
 """
 
 import collections
@@ -12,10 +12,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Need:
-    """What all gateways together need of one adapter here.
+class AdapterNeed:
+    """Demand for one adapter, summed over all gateways.
 
-    ``gateways`` is how many of them have named it.
+    ``rate`` is in requests per second; ``gateways`` counts the gateways whose
+    last demand names the adapter.
     """
 
     adapter: messages.AdapterVersion
@@ -26,111 +27,116 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
-    """The demand of one gateway, and when it said so."""
+class GatewayDemand:
+    """The last demand of one gateway and when it arrived."""
 
     demands: messages.AdapterDemands
     at_ms: int
 
 
 class Demand:
-    """The last word of each gateway, and the sums over all of them.
+    """The last demand of each gateway and the sums over all of them.
 
-    ``needs`` are by the name of the adapter; ``waiting_tokens`` are those of
-    the prompts that all gateways have waiting at the endpoint. ``revision``
-    is the newest of the configuration that any gateway ever had.
+    ``needs`` is keyed by adapter name. ``waiting_tokens`` counts the prompt
+    tokens of all requests that wait at the endpoint. ``slot_counts`` counts
+    the gateways by the number of slots that they state. ``revision`` is the
+    highest configuration revision that any gateway has stated so far.
     """
 
     def __init__(self):
-        self.told: dict[str, Told] = {}
-        self.needs: dict[str, Need] = {}
+        self.by_gateway: dict[str, GatewayDemand] = {}
+        self.needs: dict[str, AdapterNeed] = {}
         self.waiting_tokens = 0
-        self.slots_told: collections.Counter[int] = collections.Counter()
-        self.going_ahead = 0
+        self.slot_counts: collections.Counter[int] = collections.Counter()
+        self.gateways_allowing_load = 0
         self.revision = 0
 
-    def tell(
+    def update(
         self, gateway: str, demands: messages.AdapterDemands, at_ms: int
     ) -> None:
-        """Put a gateway's newest word in the place of its last one."""
+        """Replace the last demand of a gateway by a newer one."""
         self.revision = max(self.revision, demands.revision)
-        before = self.told.get(gateway)
-        self.told[gateway] = Told(demands, at_ms)
+        before = self.by_gateway.get(gateway)
+        self.by_gateway[gateway] = GatewayDemand(demands, at_ms)
         if before is not None:
-            self._count(before.demands, -1)
-        self._count(demands, 1)
+            self._apply_demands(before.demands, -1)
+        self._apply_demands(demands, 1)
 
-    def forget_before(self, at_ms: int) -> None:
-        """Forget gateways that have said nothing since."""
+    def expire_before(self, at_ms: int) -> None:
+        """Drop gateways whose last demand arrived at ``at_ms`` or earlier."""
         silent = [
             gateway
-            for gateway, told in self.told.items()
-            if told.at_ms <= at_ms
+            for gateway, last in self.by_gateway.items()
+            if last.at_ms <= at_ms
         ]
         for gateway in silent:
-            self._count(self.told.pop(gateway).demands, -1)
+            self._apply_demands(self.by_gateway.pop(gateway).demands, -1)
 
     @property
     def slots(self) -> int:
-        """How many adapters the endpoint may hold, by the least told."""
-        return min(self.slots_told, default=0)
+        """The lowest number of slots that any gateway states."""
+        return min(self.slot_counts, default=0)
 
     @property
     def models(self) -> tuple[str, ...]:
         """The models that the endpoint's service needs."""
-        for told in self.told.values():
-            return told.demands.models
+        for last in self.by_gateway.values():
+            return last.demands.models
         return ()
 
     @property
-    def holds_model_back(self) -> bool:
-        """Whether no gateway lets the endpoint load its model."""
-        return not self.going_ahead
+    def is_model_held_back(self) -> bool:
+        """Whether every gateway asks the endpoint not to load its model."""
+        return not self.gateways_allowing_load
 
-    def users(self) -> list[str]:
-        """Return the gateways that have requests here, or waiting to come."""
+    def gateways_with_requests(self) -> list[str]:
+        """Return the gateways with requests in flight or waiting here."""
         return [
             gateway
-            for gateway, told in self.told.items()
+            for gateway, last in self.by_gateway.items()
             if any(
                 entry.waiting or entry.in_flight
-                for entry in told.demands.entries
+                for entry in last.demands.entries
             )
         ]
 
-    def listeners(self) -> list[str]:
-        """Return the gateways that listen here to what others have read."""
+    def gateways_sharing_reads(self) -> list[str]:
+        """Return the gateways that receive what other gateways have read."""
         return [
             gateway
-            for gateway, told in self.told.items()
-            if told.demands.shares_reads
+            for gateway, last in self.by_gateway.items()
+            if last.demands.shares_reads
         ]
 
-    def _count(self, demands: messages.AdapterDemands, sign: int) -> None:
+    def _apply_demands(
+        self, demands: messages.AdapterDemands, sign: int
+    ) -> None:
         self.waiting_tokens += sign * demands.waiting_tokens
-        self.going_ahead += sign * (not demands.hold_model)
-        self.slots_told[demands.slots] += sign
-        if not self.slots_told[demands.slots]:
-            del self.slots_told[demands.slots]
+        self.gateways_allowing_load += sign * (not demands.hold_model)
+        self.slot_counts[demands.slots] += sign
+        if not self.slot_counts[demands.slots]:
+            del self.slot_counts[demands.slots]
         for entry in demands.entries:
-            self._add(entry, sign)
+            self._apply_entry(entry, sign)
 
-    def _add(self, entry: messages.AdapterDemand, sign: int) -> None:
+    def _apply_entry(self, entry: messages.AdapterDemand, sign: int) -> None:
         name = entry.adapter.adapter
-        known = self.needs.get(name, Need(entry.adapter))
-        gateways = known.gateways + sign
+        before = self.needs.get(name, AdapterNeed(entry.adapter))
+        gateways = before.gateways + sign
         if not gateways:
             del self.needs[name]
             return
-        # The newest version stays if the gateway that told of it falls
-        # silent: versions only rise.
+        # Versions only rise, so the newest one is kept even if the gateway
+        # that named it expires.
         newest = max(
-            known.adapter, entry.adapter, key=lambda named: int(named.version)
+            before.adapter,
+            entry.adapter,
+            key=lambda adapter: int(adapter.version),
         )
-        self.needs[name] = Need(
+        self.needs[name] = AdapterNeed(
             newest,
-            known.waiting + sign * entry.waiting,
-            known.in_flight + sign * entry.in_flight,
-            max(0.0, known.rate + sign * entry.rate),
+            before.waiting + sign * entry.waiting,
+            before.in_flight + sign * entry.in_flight,
+            max(0.0, before.rate + sign * entry.rate),
             gateways,
         )
--- a/berylhollow/loader/_endpoint_calls.py
+++ b/berylhollow/loader/_endpoint_calls.py
@@ -1,4 +1,4 @@
-"""A loader's calls to its endpoint, fed back as events."""
+"""A loader's calls to its endpoint, with results returned as events."""
 
 import collections.abc
 
@@ -11,7 +11,7 @@
 
 
 class EndpointCalls:
-    """Carry orders and reads out and feed back what came of them."""
+    """Sends orders and reads to the endpoint and feeds back the results."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self.tasks = tasks
 
     def handlers(self) -> dict:
-        """Return what carries each class of effect out."""
+        """Return the handler of each effect class."""
         return {
             effects.ReadAdapters: self._read,
             effects.OrderAdapter: self._order,
@@ -39,12 +39,12 @@
         await self.control.close()
 
     def _read(self, effect: effects.ReadAdapters) -> None:
-        self.tasks.start(self._reading(effect.read))
+        self.tasks.start(self._read_state(effect.read))
 
     def _order(self, effect: effects.OrderAdapter) -> None:
-        self.tasks.start(self._ordering(effect))
+        self.tasks.start(self._send_order(effect))
 
-    async def _reading(self, read: int) -> None:
+    async def _read_state(self, read: int) -> None:
         try:
             state = await self.control.state()
         except outgoing.CallError as error:
@@ -67,7 +67,7 @@
             )
         )
 
-    async def _ordering(self, effect: effects.OrderAdapter) -> None:
+    async def _send_order(self, effect: effects.OrderAdapter) -> None:
         order = platform.Order(
             effect.load,
             effect.name,
--- a/berylhollow/loader/_plan.py
+++ b/berylhollow/loader/_plan.py
@@ -1,4 +1,4 @@
-"""Which adapter is loaded next, and which one makes room."""
+"""Choose the adapter to load next and the one to evict for it."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """One order that brings the endpoint closer to what is needed."""
+    """A planned order: load or unload one adapter or model."""
 
     load: bool
     name: str
@@ -17,70 +17,80 @@
 
 
 def next_step(state: _state.State, at_ms: int) -> Step | None:
-    """Return the next order to give, None if there is nothing to do.
+    """Return the next order to send, None if there is nothing to do.
 
-    One at a time: each is decided on a report that shows the one before, so
-    that the endpoint never is asked for more than it can hold.
+    Orders are planned one at a time, each on a report that shows the result
+    of the previous one, so that the endpoint is never asked to hold more than
+    it can.
     """
     adapters = state.adapters
     if adapters is None or not state.slots or adapters.busy:
         return None
     if not adapters.models:
-        return _model_step(state)
-    if len(adapters.loading) >= state.options.loading_at_once:
+        return _model_load_step(state)
+    if len(adapters.loading) >= state.options.max_concurrent_loads:
         return None
     needs = state.demand.needs
-    missing = wanted(state, needs)
+    missing = missing_adapters(state, needs)
     if not missing:
         return None
-    taken = len({a.adapter for a in (*adapters.held, *adapters.loading)})
-    room = taken < state.slots
-    found = None if room else victim(state, needs, at_ms)
+    used_slots = len({a.adapter for a in (*adapters.held, *adapters.loading)})
+    has_free_slot = used_slots < state.slots
+    candidate = (
+        None if has_free_slot else eviction_candidate(state, needs, at_ms)
+    )
     for need in missing:
-        step = _step_for(state, need, room, found)
+        step = _step_for_adapter(state, need, has_free_slot, candidate)
         if step is not None:
             return step
     return None
 
 
-def _model_step(state: _state.State) -> Step | None:
-    """Load the model of an endpoint that has started empty.
+def _model_load_step(state: _state.State) -> Step | None:
+    """Return the load of the model for an endpoint that started empty.
 
-    The first of the service's models: an endpoint has room for one. From the
-    weight store only in turn, at once where the endpoint has a copy.
+    An endpoint has room for one model, so the first of the service's models is
+    loaded. A load from the weight store waits for its turn; a model of which
+    the endpoint has a local copy is loaded at once.
     """
-    if state.model_held_back:
+    if state.is_model_held_back:
         return None
     models = state.demand.models
     return Step(True, models[0], 'endpoint is empty') if models else None
 
 
-def wanted(
-    state: _state.State, needs: dict[str, _demand.Need]
-) -> list[_demand.Need]:
-    """Return what requests wait for and is not loaded, most wanted first."""
+def missing_adapters(
+    state: _state.State, needs: dict[str, _demand.AdapterNeed]
+) -> list[_demand.AdapterNeed]:
+    """Return adapters that requests wait for, highest demand first.
+
+    Adapters that are loaded or loading in the needed version are left out.
+    """
     held = _by_name(state.adapters.held)
     loading = _by_name(state.adapters.loading)
     missing = [
         need
         for name, need in needs.items()
         if need.waiting
-        and not _covers(held.get(name), need)
-        and not _covers(loading.get(name), need)
+        and not _has_needed_version(held.get(name), need)
+        and not _has_needed_version(loading.get(name), need)
     ]
     return sorted(
         missing,
-        key=lambda need: (-_worth(state, need), need.adapter.adapter),
+        key=lambda need: (
+            -_expected_requests(state, need),
+            need.adapter.adapter,
+        ),
     )
 
 
-def victim(
-    state: _state.State, needs: dict[str, _demand.Need], at_ms: int
+def eviction_candidate(
+    state: _state.State, needs: dict[str, _demand.AdapterNeed], at_ms: int
 ) -> tuple[str, float] | None:
-    """Return the adapter that is least needed and what it is worth.
+    """Return the idle adapter with the lowest request rate, and that rate.
 
-    None if all are in use: the endpoint would wait for their runs, and hold
-    the place back as long.
+    None if all adapters are in use: an unload waits until the runs have
+    ended, and the slot can't be used until then.
     """
     loading = _by_name(state.adapters.loading)
     idle = [
@@ -91,49 +101,60 @@
     ]
     if not idle:
         return None
-    nothing = _demand.Need(messages.AdapterVersion('', '0'))
+    no_need = _demand.AdapterNeed(messages.AdapterVersion('', '0'))
 
-    def value(name: str) -> tuple[float, int, str]:
-        need = needs.get(name, nothing)
-        return need.rate, state.used_ms.get(name, 0), name
+    def eviction_order(name: str) -> tuple[float, int, str]:
+        need = needs.get(name, no_need)
+        return need.rate, state.last_used_ms.get(name, 0), name
 
-    least = min(idle, key=value)
-    return least, needs.get(least, nothing).rate
+    least = min(idle, key=eviction_order)
+    return least, needs.get(least, no_need).rate
 
 
-def _step_for(
+def _step_for_adapter(
     state: _state.State,
-    need: _demand.Need,
-    room: bool,
-    found: tuple[str, float] | None,
+    need: _demand.AdapterNeed,
+    has_free_slot: bool,
+    candidate: tuple[str, float] | None,
 ) -> Step | None:
-    """Return the order for one need; ``found`` is what could make room."""
+    """Return the order that serves one need, None if none is possible.
+
+    ``candidate`` is the adapter that may be evicted, with its request rate.
+    """
     name = need.adapter.adapter
     if name in _by_name(state.adapters.held):
-        # The endpoint replaces it once its runs are over, and refuses new
-        # ones until then.
+        # The endpoint replaces an adapter after its runs have ended and
+        # refuses new requests for it until then.
         return None if need.in_flight else Step(True, name, 'newer version')
-    if room:
-        return Step(True, name, 'waited for')
-    if found is None:
+    if has_free_slot:
+        return Step(True, name, 'requests are waiting')
+    if candidate is None:
         return None
-    least, rate = found
-    if _worth(state, need) <= rate * state.options.reload_horizon_s:
+    least, rate = candidate
+    if (
+        _expected_requests(state, need)
+        <= rate * state.options.reload_horizon_s
+    ):
         return None
-    return Step(False, least, f'makes room for {name}')
+    return Step(False, least, f'evicted for {name}')
 
 
-def _worth(state: _state.State, need: _demand.Need) -> float:
-    """Return how many requests a load would serve soon."""
-    return need.waiting + need.rate * state.options.rate_horizon_s
+def _expected_requests(
+    state: _state.State, need: _demand.AdapterNeed
+) -> float:
+    """Return the number of requests that a load is expected to serve."""
+    return need.waiting + need.rate * state.options.demand_horizon_s
 
 
 def _is_idle(
-    state: _state.State, need: _demand.Need | None, name: str, at_ms: int
+    state: _state.State,
+    need: _demand.AdapterNeed | None,
+    name: str,
+    at_ms: int,
 ) -> bool:
     if need is not None and (need.waiting or need.in_flight):
         return False
-    used_ms = state.used_ms.get(name)
+    used_ms = state.last_used_ms.get(name)
     return used_ms is None or at_ms - used_ms >= state.options.idle_ms
 
 
@@ -143,5 +164,7 @@
     return {adapter.adapter: adapter for adapter in adapters}
 
 
-def _covers(have: messages.AdapterVersion | None, need: _demand.Need) -> bool:
-    return have is not None and int(have.version) >= int(need.adapter.version)
+def _has_needed_version(
+    held: messages.AdapterVersion | None, need: _demand.AdapterNeed
+) -> bool:
+    return held is not None and int(held.version) >= int(need.adapter.version)
--- a/berylhollow/loader/_reducer.py
+++ b/berylhollow/loader/_reducer.py
@@ -1,4 +1,4 @@
-"""One reducer over all events of a loader."""
+"""The reducer that handles all events of a loader."""
 
 from berylhollow import effects
 from berylhollow import events
@@ -9,14 +9,17 @@
 
 Effects = list[effects.Effect]
 
-TAKEN = (events.OrderVerdict.ACCEPTED, events.OrderVerdict.HELD_ALREADY)
-MAX_DOUBLINGS = 10
+SUCCESS_VERDICTS = (
+    events.OrderVerdict.ACCEPTED,
+    events.OrderVerdict.HELD_ALREADY,
+)
+MAX_BACK_OFF_DOUBLINGS = 10
 
 
 def reduce(
     state: _state.State, event: events.Event
 ) -> tuple[_state.State, Effects]:
-    """Take one event in and return the state and what is to be done."""
+    """Handle one event; return the state and the effects to carry out."""
     handler = _HANDLERS.get(type(event))
     if handler is None:
         return state, []
@@ -25,111 +28,120 @@
 
 def _started(state: _state.State, event: events.Started) -> Effects:
     state.incarnation = event.incarnation
-    return _read(state, event.at_ms)
+    return _begin_read(state, event.at_ms)
 
 
 def _stop(state: _state.State, event: events.StopRequested) -> Effects:
-    """Nothing that a caller waits for depends on this process: end now."""
+    """Exit at once: no request in flight depends on this process."""
     return [effects.Exit(0)]
 
 
 def _ticked(state: _state.State, event: events.Ticked) -> Effects:
     at_ms = event.at_ms
-    state.demand.forget_before(at_ms - state.options.demand_ms)
-    _forget_strays(state, at_ms)
+    state.demand.expire_before(at_ms - state.options.demand_expiry_ms)
+    _drop_expired_loads(state, at_ms)
     done: Effects = []
-    if at_ms - state.read_ms >= _read_pause_ms(state):
-        done += _read(state, at_ms)
-    done += _lost_order(state, at_ms)
-    return done + _report.tell(state, at_ms)
+    if at_ms - state.read_begun_ms >= _read_pause_ms(state):
+        done += _begin_read(state, at_ms)
+    done += _time_out_order(state, at_ms)
+    return done + _report.send_if_due(state, at_ms)
 
 
-def _forget_strays(state: _state.State, at_ms: int) -> None:
-    """Drop what can not be carried out any more."""
-    if not (state.strays or state.unanswered):
+def _drop_expired_loads(state: _state.State, at_ms: int) -> None:
+    """Drop loads that are too old to be carried out late."""
+    if not (state.stray_loads or state.unanswered_loads):
         return
-    state.strays = [x for x in state.strays if x.until_ms > at_ms]
-    state.unanswered = [x for x in state.unanswered if x.until_ms > at_ms]
+    state.stray_loads = [
+        load for load in state.stray_loads if load.until_ms > at_ms
+    ]
+    state.unanswered_loads = [
+        load for load in state.unanswered_loads if load.until_ms > at_ms
+    ]
 
 
 def _read_pause_ms(state: _state.State) -> int:
     options = state.options
-    if state.reading:
-        return options.order_ms
+    if state.is_reading:
+        return options.order_timeout_ms
     adapters = state.adapters
     if adapters is None or adapters.loading or adapters.busy:
         return options.busy_read_ms
     if state.order is not None or not adapters.models:
         return options.busy_read_ms
-    if _plan.wanted(state, state.demand.needs):
+    if _plan.missing_adapters(state, state.demand.needs):
         return options.busy_read_ms
     return options.idle_read_ms
 
 
-def _read(state: _state.State, at_ms: int) -> Effects:
-    state.reading = True
-    state.read_ms = at_ms
+def _begin_read(state: _state.State, at_ms: int) -> Effects:
+    state.is_reading = True
+    state.read_begun_ms = at_ms
     state.reads += 1
     return [effects.ReadAdapters(state.reads)]
 
 
-def _lost_order(state: _state.State, at_ms: int) -> Effects:
-    """Give up an order whose end was never told."""
+def _time_out_order(state: _state.State, at_ms: int) -> Effects:
+    """Give up an order that got no answer within ``order_timeout_ms``."""
     order = state.order
-    if order is None or at_ms - order.sent_ms < state.options.order_ms:
+    if order is None or at_ms - order.sent_ms < state.options.order_timeout_ms:
         return []
     state.order = None
-    state.fresh_read = state.reads + 1
-    _note_unanswered(state, order, at_ms)
-    return [_log('order lost', order), *_read(state, at_ms)]
+    state.min_planning_read = state.reads + 1
+    _remember_unanswered_load(state, order, at_ms)
+    return [_order_log('order timed out', order), *_begin_read(state, at_ms)]
 
 
-def _note_unanswered(
+def _remember_unanswered_load(
     state: _state.State, order: _state.Order, at_ms: int
 ) -> None:
-    """Remember a load that may be carried out later.
+    """Remember a load that the endpoint may still carry out.
 
-    While the endpoint lives its count of orders makes a late one harmless.
+    It matters only after a restart: until then the endpoint's count of
+    accepted orders makes it refuse a late order.
     """
     if order.load:
-        until_ms = at_ms + state.options.stray_ms
-        state.unanswered.append(_state.Stray(order.expected, until_ms))
+        until_ms = at_ms + state.options.stray_load_ms
+        state.unanswered_loads.append(
+            _state.StrayLoad(order.expected, until_ms)
+        )
 
 
-def _reported(state: _state.State, event: events.AdaptersReported) -> Effects:
-    """Plan on what the endpoint holds now."""
+def _adapters_reported(
+    state: _state.State, event: events.AdaptersReported
+) -> Effects:
+    """Store a report of the endpoint and send the next order."""
     done: Effects = []
-    if state.unreachable:
-        state.unreachable = False
+    if state.is_unreachable:
+        state.is_unreachable = False
         done.append(effects.Log('endpoint answers again'))
-    state.reading = False
+    state.is_reading = False
     before = state.adapters
     if before is not None and event.read < before.read:
         return done
     state.adapters = event
-    if before is not None and _restarted(before, event):
+    if before is not None and _has_restarted(before, event):
         if state.order is not None:
-            _note_unanswered(state, state.order, event.at_ms)
-        state.restart_endpoint(event.started_ms)
-        done.append(_told_restart(before, event))
-    done += _order(state, event.at_ms)
-    return done + _report.tell(state, event.at_ms)
+            _remember_unanswered_load(state, state.order, event.at_ms)
+        state.reset_for_restart(event.started_ms)
+        done.append(_restart_log(before, event))
+    done += _send_next_order(state, event.at_ms)
+    return done + _report.send_if_due(state, event.at_ms)
 
 
-def _restarted(
+def _has_restarted(
     before: events.AdaptersReported, event: events.AdaptersReported
 ) -> bool:
-    """Tell whether the endpoint has started anew between two reports.
+    """Return whether the endpoint restarted between two reports.
 
-    Its count of orders begins again too, and is all there is to tell by
-    where it does not say when it started.
+    Without a start time in both reports, only a lower count of accepted
+    orders shows a restart: the count begins again with each start.
     """
     if before.started_ms and event.started_ms:
         return before.started_ms != event.started_ms
     return event.orders < before.orders
 
 
-def _told_restart(
+def _restart_log(
     before: events.AdaptersReported, event: events.AdaptersReported
 ) -> effects.Log:
     fields = (
@@ -144,23 +156,26 @@
 def _unreachable(
     state: _state.State, event: events.EndpointUnreachable
 ) -> Effects:
-    state.reading = False
-    if state.unreachable:
+    state.is_reading = False
+    if state.is_unreachable:
         return []
-    state.unreachable = True
+    state.is_unreachable = True
     fields = (('reason', event.reason),)
     return [effects.Log('endpoint does not answer', fields, warning=True)]
 
 
-def _order(state: _state.State, at_ms: int) -> Effects:
-    """Give the next order, unless one is under way or a read is."""
-    if state.order is not None or state.unreachable:
+def _send_next_order(state: _state.State, at_ms: int) -> Effects:
+    """Send the next order if one is needed and none is in flight.
+
+    Waits for a report that was read after the last order ended.
+    """
+    if state.order is not None or state.is_unreachable:
         return []
     if state.endpoint is None:
         return []
-    if at_ms < state.order_at_ms:
+    if at_ms < state.next_order_ms:
         return []
-    if state.adapters is None or state.adapters.read < state.fresh_read:
+    if state.adapters is None or state.adapters.read < state.min_planning_read:
         return []
     step = _plan.next_step(state, at_ms)
     if step is None:
@@ -172,7 +187,7 @@
     )
     state.order = order
     return [
-        _log(
+        _order_log(
             'order',
             order,
             ('reason', step.reason),
@@ -193,42 +208,46 @@
 
 
 def _order_ended(state: _state.State, event: events.OrderEnded) -> Effects:
-    """Read what the endpoint holds now before anything else is ordered."""
+    """Record the verdict and read the endpoint before the next order."""
     order = state.order
     if order is None or order.order_id != event.order_id:
         return []
     state.order = None
     if event.verdict is events.OrderVerdict.ANOTHER_INCARNATION:
-        state.end_endpoint()
+        state.mark_endpoint_ended()
     if event.verdict is events.OrderVerdict.LOST:
-        _note_unanswered(state, order, event.at_ms)
-    _pace(state, event)
-    state.fresh_read = state.reads + 1
-    done = [_log('order ended', order, ('verdict', event.verdict.value))]
-    return done + _read(state, event.at_ms)
+        _remember_unanswered_load(state, order, event.at_ms)
+    _back_off(state, event)
+    state.min_planning_read = state.reads + 1
+    done = [_order_log('order ended', order, ('verdict', event.verdict.value))]
+    return done + _begin_read(state, event.at_ms)
 
 
-def _pace(state: _state.State, event: events.OrderEnded) -> None:
-    """Let the next order wait the longer the more were refused in a row."""
-    if event.verdict in TAKEN:
+def _back_off(state: _state.State, event: events.OrderEnded) -> None:
+    """Delay the next order with exponential back-off after refusals."""
+    if event.verdict in SUCCESS_VERDICTS:
         state.refusals = 0
         return
     options = state.options
-    pause_ms = options.refused_ms * 2 ** min(state.refusals, MAX_DOUBLINGS)
-    state.order_at_ms = event.at_ms + min(pause_ms, options.refused_most_ms)
+    pause_ms = options.refusal_back_off_ms * 2 ** min(
+        state.refusals, MAX_BACK_OFF_DOUBLINGS
+    )
+    state.next_order_ms = event.at_ms + min(
+        pause_ms, options.max_refusal_back_off_ms
+    )
     state.refusals += 1
 
 
 def _link_opened(state: _state.State, event: events.LinkOpened) -> Effects:
     state.links[event.peer] = event.incarnation
     done = [effects.Log('gateway linked', (('peer', event.peer),))]
-    return done + _report.tell_one(state, event.peer, event.at_ms)
+    return done + _report.send_to(state, event.peer, event.at_ms)
 
 
 def _link_closed(state: _state.State, event: events.LinkClosed) -> Effects:
-    """Forget a gateway; its demand lapses by itself.
+    """Remove the link of a gateway but keep its demand until that expires.
 
-    It may only have lost the link, with requests still on their way.
+    The gateway may have lost only the link and still have requests in flight.
     """
     state.links.pop(event.peer, None)
     return [effects.Log('gateway lost', (('peer', event.peer),))]
@@ -237,36 +256,40 @@
 def _received(state: _state.State, event: events.MessageReceived) -> Effects:
     message = event.message
     if isinstance(message, messages.Crashed):
-        return _pass_on(state, event.peer, message)
+        return _forward_crash(state, event.peer, message)
     if isinstance(message, messages.StreamPart):
-        return _pass_on_part(state, event.peer, message)
+        return _forward_stream_part(state, event.peer, message)
     if isinstance(message, messages.QuotaUses):
-        return _keep_book(state, event)
+        return _update_quota_sums(state, event)
     if isinstance(message, messages.RateWanted):
-        return _lend(state, event)
+        return _lend_requests(state, event)
     if not isinstance(message, messages.AdapterDemands):
         return []
-    state.demand.tell(event.peer, message, event.at_ms)
+    state.demand.update(event.peer, message, event.at_ms)
     state.learn_endpoint(message.incarnation)
     for entry in message.entries:
         if entry.waiting or entry.in_flight:
-            state.used_ms[entry.adapter.adapter] = event.at_ms
-    _forget_unused(state)
-    done = _say_turn(state) + _order(state, event.at_ms)
-    return done + _report.tell(state, event.at_ms)
+            state.last_used_ms[entry.adapter.adapter] = event.at_ms
+    _prune_last_used(state)
+    done = _log_model_turn(state) + _send_next_order(state, event.at_ms)
+    return done + _report.send_if_due(state, event.at_ms)
 
 
-def _keep_book(state: _state.State, event: events.MessageReceived) -> Effects:
-    """Add up what gateways have used of quotas and tell them the sums."""
+def _update_quota_sums(
+    state: _state.State, event: events.MessageReceived
+) -> Effects:
+    """Add a gateway's quota use to the totals and send it the totals."""
     peer = event.peer
-    sums = state.book.tell(
+    sums = state.quota_book.tell(
         peer, state.links.get(peer, ''), event.message.uses, event.at_ms
     )
     return [effects.Send(peer, messages.QuotaSums(state.incarnation, sums))]
 
 
-def _lend(state: _state.State, event: events.MessageReceived) -> Effects:
-    """Lend a gateway requests to an endpoint that has named a limit."""
+def _lend_requests(
+    state: _state.State, event: events.MessageReceived
+) -> Effects:
+    """Grant a gateway a share of an endpoint's rate limit."""
     wanted = event.message
     lent = state.lender.lend(
         event.peer,
@@ -279,52 +302,57 @@
     return [effects.Send(event.peer, answer)]
 
 
-def _say_turn(state: _state.State) -> Effects:
-    """Say when the model begins or ends to wait for its turn."""
-    held_back = state.model_held_back
-    if held_back == state.held_back:
+def _log_model_turn(state: _state.State) -> Effects:
+    """Log when the model starts or stops waiting for its turn."""
+    held_back = state.is_model_held_back
+    if held_back == state.logged_held_back:
         return []
-    state.held_back = held_back
+    state.logged_held_back = held_back
     text = 'model waits for its turn' if held_back else 'model has its turn'
     fields = (
         ('endpoint', str(state.endpoint or '')),
-        ('gateways', len(state.demand.told)),
+        ('gateways', len(state.demand.by_gateway)),
     )
     return [effects.Log(text, fields)]
 
 
-def _pass_on(
+def _forward_crash(
     state: _state.State, sender: str, crash: messages.Crashed
 ) -> Effects:
-    """Tell the other gateways of a crash; they have no links of their own."""
+    """Forward a crash to the other gateways.
+
+    Gateways have no links to each other.
+    """
     return [
         effects.Send(peer, crash) for peer in state.links if peer != sender
     ]
 
 
-def _pass_on_part(
+def _forward_stream_part(
     state: _state.State, sender: str, part: messages.StreamPart
 ) -> Effects:
-    """Tell the gateways that listen here what another has read."""
+    """Forward what a gateway has read to those that share its reads."""
     return [
         effects.Send(peer, part)
-        for peer in state.demand.listeners()
+        for peer in state.demand.gateways_sharing_reads()
         if peer != sender and peer in state.links
     ]
 
 
-def _forget_unused(state: _state.State) -> None:
-    """Keep when adapters were used only of those that are held or needed."""
-    if len(state.used_ms) <= 4 * max(1, state.slots):
+def _prune_last_used(state: _state.State) -> None:
+    """Limit ``last_used_ms`` to adapters that are held or needed."""
+    if len(state.last_used_ms) <= 4 * max(1, state.slots):
         return
     adapters = state.adapters
     kept = set(state.demand.needs)
     if adapters is not None:
         kept |= {adapter.adapter for adapter in adapters.held}
-    state.used_ms = {k: v for k, v in state.used_ms.items() if k in kept}
+    state.last_used_ms = {
+        k: v for k, v in state.last_used_ms.items() if k in kept
+    }
 
 
-def _log(
+def _order_log(
     text: str, order: _state.Order, *fields: tuple[str, object]
 ) -> effects.Log:
     common = (
@@ -342,7 +370,7 @@
     events.LinkOpened: _link_opened,
     events.LinkClosed: _link_closed,
     events.MessageReceived: _received,
-    events.AdaptersReported: _reported,
+    events.AdaptersReported: _adapters_reported,
     events.EndpointUnreachable: _unreachable,
     events.OrderEnded: _order_ended,
 }
--- a/berylhollow/loader/_report.py
+++ b/berylhollow/loader/_report.py
@@ -1,4 +1,4 @@
-"""What a loader tells the gateways of its endpoint."""
+"""Reports of the endpoint's state from its loader to the gateways."""
 
 from berylhollow import effects
 from berylhollow.loader import _plan
@@ -7,102 +7,108 @@
 
 Effects = list[effects.Effect]
 
-NEWS_TOKENS = 4000
-"""Change in the prompts that wait here that gateways are told of: about two
-hundred milliseconds of reading, a fifth of what callers wait for a first
-token."""
+MIN_TOKENS_CHANGE = 4000
+"""Change in the number of waiting prompt tokens that causes a new report:
+about two hundred milliseconds of prompt processing, a fifth of the time that
+callers wait for a first token."""
 
 
-def tell(state: _state.State, at_ms: int) -> Effects:
-    """Report to every gateway when it matters, else now and then."""
+def send_if_due(state: _state.State, at_ms: int) -> Effects:
+    """Send a report to every gateway if one is due.
+
+    If none is due but the set of ready adapters has changed, only the gateways
+    with requests here receive it.
+    """
     if state.adapters is None:
         return []
-    report = _report(state, at_ms)
-    if _due(state, report, at_ms):
-        state.reported = state.told_users = report
+    report = _build_report(state, at_ms)
+    if _is_due(state, report, at_ms):
+        state.reported = state.reported_to_users = report
         state.reported_ms = at_ms
         return [effects.Send(peer, report) for peer in state.links]
-    if _servable(report) == _servable(state.told_users):
+    if _ready_adapters(report) == _ready_adapters(state.reported_to_users):
         return []
-    state.told_users = report
+    state.reported_to_users = report
     return [
         effects.Send(peer, report)
-        for peer in state.demand.users()
+        for peer in state.demand.gateways_with_requests()
         if peer in state.links
     ]
 
 
-def tell_one(state: _state.State, peer: str, at_ms: int) -> Effects:
-    """Report to a gateway that has just come."""
+def send_to(state: _state.State, peer: str, at_ms: int) -> Effects:
+    """Send a report to a gateway that has just connected."""
     if state.adapters is None:
         return []
-    return [effects.Send(peer, _report(state, at_ms))]
+    return [effects.Send(peer, _build_report(state, at_ms))]
 
 
-def _due(state: _state.State, report: messages.Report, at_ms: int) -> bool:
-    """Tell whether gateways need the report now.
+def _is_due(state: _state.State, report: messages.Report, at_ms: int) -> bool:
+    """Return whether the report has to be sent to all gateways now.
 
-    Every gateway is told, so what is told often grows with the square of
-    the deployment: on a hundred slots that load forty adapters a second,
-    telling of each step of each load was most of the bytes between failure
-    domains. Whether the endpoint serves at all is told at once; all else can
-    wait a little, and whom it concerns hears of its adapters before.
+    Each endpoint reports to every gateway, so the traffic grows with the
+    square of the deployment: with a hundred slots that load forty adapters a
+    second, reporting each step of each load was most of the bytes between
+    failure domains. A change in whether the endpoint serves is therefore
+    reported at once; other changes wait for ``min_report_interval_ms``.
+    Gateways with requests here are sent changes of the ready adapters
+    earlier, see ``send_if_due``.
     """
     last = state.reported
     age_ms = at_ms - state.reported_ms
     if last is None or age_ms >= state.options.report_ms:
         return True
-    if _standing(report) != _standing(last):
+    if _serving_state(report) != _serving_state(last):
         return True
-    if age_ms < state.options.hint_ms:
+    if age_ms < state.options.min_report_interval_ms:
         return False
-    if _servable(report) != _servable(last):
+    if _ready_adapters(report) != _ready_adapters(last):
         return True
-    news = abs(report.waiting_tokens - last.waiting_tokens)
-    return news >= NEWS_TOKENS or _hints(report) != _hints(last)
+    tokens_change = abs(report.waiting_tokens - last.waiting_tokens)
+    return tokens_change >= MIN_TOKENS_CHANGE or _hints(report) != _hints(last)
 
 
-def _standing(report: messages.Report) -> tuple:
-    """Return what decides whether the endpoint serves at all."""
+def _serving_state(report: messages.Report) -> tuple:
+    """Return the fields that decide whether the endpoint serves."""
     return report.ready, report.epoch, report.model_load
 
 
-def _servable(report: messages.Report) -> set:
-    """Return the adapters that requests can be sent on."""
+def _ready_adapters(report: messages.Report) -> set:
+    """Return the adapters that are ready to serve requests."""
     return {slot.adapter for slot in report.slots if slot.ready}
 
 
 def _hints(report: messages.Report) -> tuple:
-    """Return what only decides where a load is asked for.
+    """Return the fields that gateways use to choose where to load an adapter.
 
-    A load that is waited for and one under way are the same to gateways.
+    Gateways treat a wanted load and one under way alike.
     """
     loading = {slot.adapter for slot in report.slots if not slot.ready}
     return loading.union(report.wanted), report.evictable
 
 
-def _report(state: _state.State, at_ms: int) -> messages.Report:
+def _build_report(state: _state.State, at_ms: int) -> messages.Report:
     adapters = state.adapters
     needs = state.demand.needs
-    found = _plan.victim(state, needs, at_ms)
-    taken = len(adapters.held) + len(adapters.loading)
-    free = taken < state.slots
-    wanted = _plan.wanted(state, needs)
+    candidate = _plan.eviction_candidate(state, needs, at_ms)
+    used_slots = len(adapters.held) + len(adapters.loading)
+    has_room = used_slots < state.slots
+    missing = _plan.missing_adapters(state, needs)
     return messages.Report(
         instance=state.options.instance,
         service=state.options.service,
         failure_domain=state.options.failure_domain,
         epoch='' if state.endpoint is None else str(state.endpoint),
-        ready=bool(adapters.models) and not state.unreachable,
+        ready=bool(adapters.models) and not state.is_unreachable,
         leaving=False,
         slots=_slots(adapters),
-        wanted=tuple(need.adapter for need in wanted),
+        wanted=tuple(need.adapter for need in missing),
         running=adapters.running,
         queued=adapters.waiting,
         capacity=0,
         revision=state.demand.revision,
-        evictable=free or found is not None,
-        victim_value=0.0 if free or found is None else found[1],
+        evictable=has_room or candidate is not None,
+        victim_value=0.0 if has_room or candidate is None else candidate[1],
         gateways=max(1, len(state.links)),
         model_load=state.model_load,
         waiting_tokens=state.demand.waiting_tokens,
@@ -110,16 +116,16 @@
 
 
 def _slots(adapters) -> tuple[messages.SlotReport, ...]:
-    """Return the adapters that are there, then those on their way.
+    """Return the ready adapters, then the loading ones.
 
-    One that is being replaced is on its way: the endpoint refuses requests
-    for it meanwhile.
+    An adapter that is being replaced counts as loading: the endpoint refuses
+    requests for it until the new version is loaded.
     """
     loading = {adapter.adapter for adapter in adapters.loading}
     ready = [a for a in adapters.held if a.adapter not in loading]
-    rows = [(adapter, True) for adapter in ready]
-    rows += [(adapter, False) for adapter in adapters.loading]
+    entries = [(adapter, True) for adapter in ready]
+    entries += [(adapter, False) for adapter in adapters.loading]
     return tuple(
         messages.SlotReport(number, adapter, is_ready, 0)
-        for number, (adapter, is_ready) in enumerate(rows)
+        for number, (adapter, is_ready) in enumerate(entries)
     )
--- a/berylhollow/loader/_shell.py
+++ b/berylhollow/loader/_shell.py
@@ -1,4 +1,4 @@
-"""The loader's shell: links and calls to the endpoint around the reducer."""
+"""Runs a loader's reducer with its gateway links and endpoint calls."""
 
 import asyncio
 import logging
@@ -17,13 +17,14 @@
 
 LOG = logging.getLogger(__name__)
 TICK_MS = 20
-"""Fine against the 250 ms of a load; a tick costs some microseconds."""
+"""Short compared with the 250 ms of a load; a tick costs a few
+microseconds."""
 
 
 class Shell:
-    """Runs one loader around its reducer.
+    """Runs one loader: feeds events to its reducer and carries out effects.
 
-    ``ended`` is set to the exit code when there is nothing more to do.
+    ``ended`` resolves to the exit code.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
         self.count = count
         self.incarnation = secrets.token_hex(8)
         self.driver = shell.Driver(_reducer.reduce, state, self.time, {})
-        self.driver.failed.add_done_callback(self._failed)
+        self.driver.failed.add_done_callback(self._driver_failed)
         self.links = shell.GatewayLinks(
             links.Identity(
                 identity, events.Role.ENDPOINT.value, self.incarnation
@@ -70,7 +71,7 @@
         }
 
     async def start(self) -> None:
-        """Listen for gateways and begin. Raises OSError."""
+        """Listen for gateways and start ticking. Raises OSError."""
         await self.links.start()
         LOG.info('listening', extra={'port': self.links.server.port})
         now_ms = self.time.now_ms()
@@ -97,6 +98,6 @@
         if not self.ended.done():
             self.ended.set_result(effect.code)
 
-    def _failed(self, failed: asyncio.Future) -> None:
+    def _driver_failed(self, failed: asyncio.Future) -> None:
         if not failed.cancelled() and not self.ended.done():
             self.ended.set_result(1)
--- a/berylhollow/loader/_state.py
+++ b/berylhollow/loader/_state.py
@@ -1,4 +1,4 @@
-"""What a loader knows: its endpoint's adapters, and who needs which."""
+"""State of a loader: its endpoint's adapters and the demand for them."""
 
 import dataclasses
 
@@ -10,56 +10,67 @@
 from berylhollow import workspaces
 
 
-MOST_ENDED = 64
-"""Starts remembered as over. Gateways behind the list name the last few."""
+MAX_ENDED_INCARNATIONS = 64
+"""Ended incarnations that are remembered. Gateways with an outdated instance
+list may still name the last few of them."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Options:
-    """Limits and times of one loader; durations in milliseconds.
-
-    ``loading_at_once``: the weight store slows down beyond eight loads over
-    all endpoints, so a few endpoints with two each stay below them.
-    ``busy_read_ms`` and ``idle_read_ms`` are the pauses between reads of the
-    endpoint's report while something is loading or wanted, and otherwise; a
-    load takes about 250. ``report_ms`` is the pause between two reports that
-    say the same, ``hint_ms`` between two that differ, but for what all have to
-    know at once: less than half of a load. A gateway's demand is forgotten
-    after ``demand_ms`` without word of it, six times the pause between two.
-    An adapter that was in use less than ``idle_ms`` ago is not evicted: a
-    request for it may be on its way, of which a gateway tells at its next
-    tick, 50 ms, and over a link, up to 10. At 300 an eighth of the slots
-    stood idle in a crowd. ``order_ms`` is after how long an order counts as
-    lost. After one that was refused the next waits ``refused_ms``, doubled
-    each time up to ``refused_most_ms``, so that no refusal is asked for
-    without end. A load is worth the requests that wait and those expected
-    within ``rate_horizon_s``.
-    What it evicts can be loaded again quickly, so that only costs those
-    expected within ``reload_horizon_s``: a tenth, as a reload takes a tenth of
-    a load.
+    """Limits and times of one loader; ``_ms`` fields are in milliseconds.
+
+    - ``max_concurrent_loads``: the weight store slows down beyond eight loads
+      over all endpoints, so a few endpoints with two each stay below that.
+    - ``busy_read_ms``, ``idle_read_ms``: pause between reads of the
+      endpoint's report while something is loading or wanted, and otherwise.
+      A load takes about 250.
+    - ``report_ms``: pause between two reports with the same content.
+    - ``min_report_interval_ms``: pause between two reports that differ,
+      unless the change has to be reported at once. Less than half of a load.
+    - ``demand_expiry_ms``: age at which a gateway's demand is dropped, six
+      times the pause between two of its messages.
+    - ``idle_ms``: an adapter that was in use more recently is not evicted. A
+      request for it may be in flight: the gateway reports it with its next
+      tick, within 50 ms, and the link takes up to 10. At 300 an eighth of
+      the slots stood idle in a simulated crowd of callers.
+    - ``order_timeout_ms``: time after which an order counts as lost.
+    - ``refusal_back_off_ms``, ``max_refusal_back_off_ms``: pause after a
+      refused order, doubled with each further refusal up to the maximum, so
+      that an order that is always refused is not repeated without a pause.
+    - ``demand_horizon_s``: a load is worth the requests that wait and those
+      expected within this time.
+    - ``reload_horizon_s``: an eviction costs the requests expected within
+      this time. The evicted adapter can be loaded again in a tenth of the
+      time of a load, so this is a tenth of ``demand_horizon_s``.
+    - ``stray_load_ms``: time for which a load without an answer may still be
+      carried out.
     """
 
     instance: str
     service: str
     failure_domain: str = ''
-    loading_at_once: int = 2
+    max_concurrent_loads: int = 2
     busy_read_ms: int = 40
     idle_read_ms: int = 300
     report_ms: int = 1000
-    hint_ms: int = 100
-    demand_ms: int = 2500
+    min_report_interval_ms: int = 100
+    demand_expiry_ms: int = 2500
     idle_ms: int = 80
-    order_ms: int = 500
-    refused_ms: int = 40
-    refused_most_ms: int = 1280
-    rate_horizon_s: float = 2.0
+    order_timeout_ms: int = 500
+    refusal_back_off_ms: int = 40
+    max_refusal_back_off_ms: int = 1280
+    demand_horizon_s: float = 2.0
     reload_horizon_s: float = 0.2
-    stray_ms: int = 15_000
+    stray_load_ms: int = 15_000
 
 
 @dataclasses.dataclass(slots=True)
 class Order:
-    """The order under way, valid after ``expected`` accepted ones."""
+    """The order in flight.
+
+    The endpoint accepts it only while its count of accepted orders is
+    ``expected``.
+    """
 
     order_id: str
     load: bool
@@ -69,11 +80,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stray:
-    """A load for a start that is over, which may still be carried out.
+class StrayLoad:
+    """A load without an answer that may be carried out after a restart.
 
-    The endpoint takes it when it has accepted ``expected`` orders since it
-    started again.
+    The restarted endpoint accepts it when it has accepted ``expected`` orders
+    since its start. The load is no longer valid at ``until_ms``.
     """
 
     expected: int
@@ -82,16 +93,20 @@
 
 @dataclasses.dataclass(slots=True)
 class State:
-    """Everything that a loader's reducer remembers.
-
-    ``endpoint`` is the incarnation to order, None while it is not known:
-    only the gateways' list names it. ``ended`` are those that are known to be
-    over, the latest last. ``unanswered`` are loads of the present start whose
-    answer was lost, ``strays`` those of starts that are over. ``used_ms`` is
-    when each adapter was last needed, by name. ``held_back`` is what was last
-    said of whether the model waits for its turn with the weight store.
-    ``fresh_read`` is the first read that was begun after the last order had
-    ended: an earlier one may not show what that order changed.
+    """The state of a loader's reducer.
+
+    - ``endpoint``: the incarnation to send orders to, None while unknown.
+      Only the gateways' instance list names it.
+    - ``ended``: incarnations that are known to have ended, the latest last.
+    - ``unanswered_loads``: loads sent to the current incarnation whose answer
+      was lost; ``stray_loads``: those sent to earlier ones.
+    - ``min_planning_read``: the first read begun after the last order ended.
+      An earlier read may not show the result of that order.
+    - ``last_used_ms``: when each adapter was last needed, by name.
+    - ``logged_held_back``: whether the last log line about it said that the
+      model waits for its turn with the weight store.
+    - ``reported``: the last report sent to all gateways;
+      ``reported_to_users``: the last one sent to those with requests here.
     """
 
     options: Options
@@ -99,37 +114,40 @@
     ended: dict[messages.Incarnation, None] = dataclasses.field(
         default_factory=dict
     )
-    unanswered: list[Stray] = dataclasses.field(default_factory=list)
-    strays: list[Stray] = dataclasses.field(default_factory=list)
+    unanswered_loads: list[StrayLoad] = dataclasses.field(default_factory=list)
+    stray_loads: list[StrayLoad] = dataclasses.field(default_factory=list)
     adapters: events.AdaptersReported | None = None
-    reading: bool = False
+    is_reading: bool = False
     reads: int = 0
-    fresh_read: int = 0
-    read_ms: int = clock.NEVER_MS
-    unreachable: bool = False
+    min_planning_read: int = 0
+    read_begun_ms: int = clock.NEVER_MS
+    is_unreachable: bool = False
     links: dict[str, str] = dataclasses.field(default_factory=dict)
     demand: _demand.Demand = dataclasses.field(default_factory=_demand.Demand)
-    book: workspaces.Book = dataclasses.field(default_factory=workspaces.Book)
+    quota_book: workspaces.Book = dataclasses.field(
+        default_factory=workspaces.Book
+    )
     lender: rate_limits.Lender = dataclasses.field(
         default_factory=rate_limits.Lender
     )
     incarnation: str = ''
-    used_ms: dict[str, int] = dataclasses.field(default_factory=dict)
+    last_used_ms: dict[str, int] = dataclasses.field(default_factory=dict)
     order: Order | None = None
     orders: int = 0
     refusals: int = 0
-    order_at_ms: int = 0
-    held_back: bool = False
+    next_order_ms: int = 0
+    logged_held_back: bool = False
     reported: messages.Report | None = None
-    told_users: messages.Report | None = None
+    reported_to_users: messages.Report | None = None
     reported_ms: int = clock.NEVER_MS
 
     def learn_endpoint(self, named: messages.Incarnation) -> None:
-        """Take the incarnation that a gateway has from the list.
+        """Use the incarnation that a gateway has from the instance list.
 
-        Not one that is over, nor one that started at another time than the
-        endpoint itself says: that gateway is behind. One that fits goes
-        before a name that was only kept over a restart.
+        An incarnation that has ended is ignored, and so is one with another
+        start time than the endpoint reports: that gateway has an outdated
+        list. One with the right start time replaces a name that was only
+        assumed to stay the same over a restart.
         """
         if not named.name or named in self.ended:
             return
@@ -141,60 +159,62 @@
         if self.endpoint is None:
             self.endpoint = named
 
-    def end_endpoint(self) -> None:
-        """The incarnation that was ordered is over; another is there.
+    def mark_endpoint_ended(self) -> None:
+        """Mark the current incarnation as ended and look for the next one.
 
-        Guards against a gateway that is behind the list and still names it:
-        the loader would order the old one again and again. What others say
-        may name the next one already.
+        A gateway with an outdated instance list may still name the old
+        incarnation; without the mark the loader would send orders to it again
+        and again. Other gateways may already name the next incarnation.
         """
         if self.endpoint is not None:
             self.ended.pop(self.endpoint, None)
             self.ended[self.endpoint] = None
-        while len(self.ended) > MOST_ENDED:
+        while len(self.ended) > MAX_ENDED_INCARNATIONS:
             del self.ended[next(iter(self.ended))]
         self.endpoint = None
-        for told in self.demand.told.values():
-            self.learn_endpoint(told.demands.incarnation)
+        for last in self.demand.by_gateway.values():
+            self.learn_endpoint(last.demands.incarnation)
 
-    def restart_endpoint(self, started_ms: int) -> None:
-        """The endpoint has started again, and knows nothing of before.
+    def reset_for_restart(self, started_ms: int) -> None:
+        """Reset what was known of the endpoint before it restarted.
 
-        Its name may have stayed the same, which the list tells seconds later
-        or, in an outage of the store, not at all. Ordered under its old name
-        it starts to load at once; if it has another, it refuses the order
-        and no harm is done.
+        Its name may have stayed the same, which the instance list shows
+        seconds later or, in an outage of the store, not at all. Orders are
+        therefore sent under the old name, so that it starts to load at once;
+        if it has another name, it refuses the order without harm.
         """
         before = self.endpoint
-        self.strays += self.unanswered
-        self.unanswered = []
+        self.stray_loads += self.unanswered_loads
+        self.unanswered_loads = []
         self.order = None
         self.refusals = 0
-        self.order_at_ms = 0
-        self.used_ms = {}
-        self.end_endpoint()
+        self.next_order_ms = 0
+        self.last_used_ms = {}
+        self.mark_endpoint_ended()
         if self.endpoint is None and before is not None and started_ms:
-            kept = messages.Incarnation(before.name, started_ms)
-            if kept not in self.ended:
-                self.endpoint = kept
+            candidate = messages.Incarnation(before.name, started_ms)
+            if candidate not in self.ended:
+                self.endpoint = candidate
 
     @property
     def slots(self) -> int:
-        """How many adapters may be held, of those that gateways say.
+        """The number of adapters that the loader may have the endpoint hold.
 
-        A stray load takes a place nobody has planned for. Guards against an
-        endpoint that is asked for more than it can hold and crashes: one
-        place stays free for each until the endpoint has accepted so many
-        orders that none of them is valid any more.
+        A stray load takes a slot that was not planned for, and an endpoint
+        that is asked to hold more than it can crashes. One slot is therefore
+        kept free for each stray load until the endpoint has accepted so many
+        orders that the load is no longer valid.
         """
-        most = self.demand.slots
+        max_slots = self.demand.slots
         accepted = 0 if self.adapters is None else self.adapters.orders
-        valid = sum(stray.expected >= accepted for stray in self.strays)
-        return max(min(most, 1), most - valid)
+        valid_strays = sum(
+            stray.expected >= accepted for stray in self.stray_loads
+        )
+        return max(min(max_slots, 1), max_slots - valid_strays)
 
     @property
     def model_load(self) -> messages.ModelLoad:
-        """How far the endpoint is with its model from the weight store."""
+        """The state of the endpoint's load of its model from the store."""
         adapters = self.adapters
         models = self.demand.models
         if adapters is None or adapters.models or not models:
@@ -206,12 +226,12 @@
         return messages.ModelLoad.NEEDED
 
     @property
-    def model_held_back(self) -> bool:
+    def is_model_held_back(self) -> bool:
         """Whether the model waits for its turn with the weight store.
 
-        Gateways that don't see each other may differ; one that says that
-        this endpoint's turn has come is enough, or all might wait for ever.
+        Gateways that don't see each other may disagree. One that allows the
+        load is enough, or else all endpoints might wait forever.
         """
         if self.model_load is not messages.ModelLoad.NEEDED:
             return False
-        return self.demand.holds_model_back
+        return self.demand.is_model_held_back
--- a/berylhollow/loader/service.py
+++ b/berylhollow/loader/service.py
@@ -1,4 +1,4 @@
-"""The loader as a process: its shell, its metrics and its signals."""
+"""The loader as a service of its process, with a metrics page."""
 
 import aiomisc
 
@@ -11,7 +11,7 @@
 
 
 class LoaderService(aiomisc.Service):
-    """Starts and stops one loader with its process."""
+    """Starts and stops one loader and its metrics page with the process."""
 
     def __init__(
         self,
@@ -30,14 +30,14 @@
         )
 
     async def start(self) -> None:
-        """Listen and begin."""
+        """Start the loader and the metrics page."""
         await self.loader.start()
         self.loader.ended.add_done_callback(self._ended)
         await self.pages.start()
         metrics.open_soon(self.meters)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Close everything."""
+        """Stop the loader and the metrics page."""
         self.lifetime.stop(await self.loader.stop())
         await self.pages.stop()
 
--- a/test/loader/loader_helper.py
+++ b/test/loader/loader_helper.py
@@ -1,4 +1,4 @@
-"""A loader's reducer that is fed reports, demands and ends of orders."""
+"""Base test case that feeds reports, demands and verdicts to a loader."""
 
 from berylhollow import effects
 from berylhollow import events
@@ -11,13 +11,13 @@
 ENDPOINT = 'i-1'
 
 
-def named(adapter, version='1'):
+def adapter_version(adapter, version='1'):
     return messages.AdapterVersion(f'{MODEL}/{adapter}', version)
 
 
 def demand(adapter, waiting=1, in_flight=0, rate=0.0, version='1'):
     return messages.AdapterDemand(
-        named(adapter, version), waiting, in_flight, rate
+        adapter_version(adapter, version), waiting, in_flight, rate
     )
 
 
@@ -64,7 +64,7 @@
         return self.feed(events.AdaptersReported(**(values | changes)))
 
     def order(self):
-        """Return the one order that the last event gave."""
+        """Return the single order among the effects of the last event."""
         (order,) = self.of_type(effects.OrderAdapter)
         return order
 
--- a/test/loader/test_loader.py
+++ b/test/loader/test_loader.py
@@ -1,4 +1,4 @@
-"""Decisions of the process that orders an endpoint's adapters."""
+"""Orders and reports of the loader, which manages an endpoint's adapters."""
 
 from berylhollow import effects
 from berylhollow import events
@@ -7,7 +7,7 @@
 
 
 class OrderTest(loader_helper.LoaderTestCase):
-    def test_waited_for_adapter_is_loaded(self):
+    def test_adapter_that_requests_wait_for_is_loaded(self):
         self.report()
         self.want(loader_helper.demand('a1'))
         order = self.order()
@@ -18,16 +18,16 @@
         )
 
     def test_nothing_is_ordered_before_the_endpoint_is_known(self):
-        """An order that names no incarnation may reach the next one."""
+        """An order without an incarnation could reach a later one."""
         self.report()
         self.want(loader_helper.demand('a1'), endpoint='')
         self.assert_no_order()
 
     def test_empty_endpoint_gets_its_model_first(self):
-        """A runner that was replaced comes back empty.
+        """An endpoint that was replaced starts without a model.
 
-        Ordering it an adapter was refused for ever, and every request sent
-        there failed: the model itself has to be loaded before.
+        It refused every order of an adapter, and every request sent to it
+        failed: the model has to be loaded first.
         """
         self.report(models=())
         self.want(loader_helper.demand('a1'))
@@ -35,10 +35,10 @@
         self.assertFalse(self.sent(messages.Report)[-1].ready)
 
     def test_next_order_waits_for_a_report_after_the_last_one(self):
-        """Two orders planned on one report are one too many.
+        """Two orders must not be planned on the same report.
 
-        The second is decided on a read that began before the first order was
-        carried out; the endpoint refuses it, or crashes if it does not check.
+        The second would be planned on a read that began before the first was
+        carried out; the endpoint refuses it, or crashes if it doesn't check.
         """
         self.report()
         self.want(loader_helper.demand('a1'), loader_helper.demand('a2'))
@@ -46,14 +46,14 @@
         stale_read = self.state.reads - 1
         self.report(read=stale_read)
         self.assert_no_order()
-        self.report(loading=[loader_helper.named('a1')])
+        self.report(loading=[loader_helper.adapter_version('a1')])
         self.assertEqual('m/a2', self.order().name)
 
-    def test_late_read_is_no_restart(self):
-        """An older report that arrives last shows fewer orders.
+    def test_late_report_is_not_taken_for_a_restart(self):
+        """An older report that arrives late shows fewer orders.
 
-        Taken for a restart it made the loader give the endpoint up: no
-        adapter was loaded there for the rest of the day.
+        The loader took it for a restart and gave the endpoint up: no adapter
+        was loaded there for the rest of the day.
         """
         self.orders = 5
         self.report()
@@ -64,8 +64,8 @@
         self.report(read=self.state.reads - 1, orders=4, at_ms=2020)
         self.assertEqual(loader_helper.ENDPOINT, str(self.state.endpoint))
 
-    def test_refused_orders_come_ever_more_seldom(self):
-        """An order that is refused for good was repeated without a pause.
+    def test_refused_orders_are_retried_with_back_off(self):
+        """An order that was always refused was repeated without a pause.
 
         One sidecar sent 7,000 of them in half a minute.
         """
@@ -93,18 +93,21 @@
 
 
 class RoomTest(loader_helper.LoaderTestCase):
-    def test_adapters_on_their_way_take_places(self):
-        """What is loading counts: one more crashes the endpoint."""
+    def test_loading_adapters_take_slots(self):
+        """Loading adapters take slots; one too many crashes the endpoint."""
         self.report(
-            held=[loader_helper.named('a1')],
-            loading=[loader_helper.named('a2')],
+            held=[loader_helper.adapter_version('a1')],
+            loading=[loader_helper.adapter_version('a2')],
         )
         self.want(loader_helper.demand('a3'), loader_helper.demand('a1', 0, 1))
         self.assert_no_order()
 
-    def test_least_needed_adapter_makes_room(self):
+    def test_least_needed_adapter_is_evicted(self):
         self.report(
-            held=[loader_helper.named('a1'), loader_helper.named('a2')]
+            held=[
+                loader_helper.adapter_version('a1'),
+                loader_helper.adapter_version('a2'),
+            ]
         )
         self.want(
             loader_helper.demand('a1', 0, 0, 2.0),
@@ -114,10 +117,13 @@
         order = self.order()
         self.assertEqual((False, 'm/a2'), (order.load, order.name))
 
-    def test_adapter_in_use_stays(self):
-        """An unload waits for the runs and holds the place back."""
+    def test_adapter_in_use_is_not_evicted(self):
+        """An unload waits for the runs, and its slot can't be used so long."""
         self.report(
-            held=[loader_helper.named('a1'), loader_helper.named('a2')]
+            held=[
+                loader_helper.adapter_version('a1'),
+                loader_helper.adapter_version('a2'),
+            ]
         )
         self.want(
             loader_helper.demand('a1', 0, 1),
@@ -126,9 +132,12 @@
         )
         self.assert_no_order()
 
-    def test_hot_adapter_does_not_go_for_a_single_request(self):
+    def test_busy_adapter_is_not_evicted_for_a_single_request(self):
         self.report(
-            held=[loader_helper.named('a1'), loader_helper.named('a2')]
+            held=[
+                loader_helper.adapter_version('a1'),
+                loader_helper.adapter_version('a2'),
+            ]
         )
         self.want(
             loader_helper.demand('a1', 0, 0, 8.0),
@@ -140,13 +149,13 @@
 
 class VersionTest(loader_helper.LoaderTestCase):
     def test_idle_adapter_is_replaced_by_its_newer_version(self):
-        self.report(held=[loader_helper.named('a1')])
+        self.report(held=[loader_helper.adapter_version('a1')])
         self.want(loader_helper.demand('a1', version='2'))
         self.assertEqual('m/a1', self.order().name)
 
     def test_version_in_use_is_not_replaced_under_its_runs(self):
-        """A replacement waits for its runs and refuses new ones meanwhile."""
-        self.report(held=[loader_helper.named('a1')])
+        """A replacement waits for the runs and refuses new ones until then."""
+        self.report(held=[loader_helper.adapter_version('a1')])
         self.want(loader_helper.demand('a1', 1, 2, version='2'))
         self.assert_no_order()
 
@@ -154,8 +163,13 @@
 class ReportTest(loader_helper.LoaderTestCase):
     def test_loading_adapter_is_not_ready(self):
         self.want()
-        held = [loader_helper.named('a1'), loader_helper.named('a2')]
-        self.report(held=held, loading=[loader_helper.named('a1', '2')])
+        held = [
+            loader_helper.adapter_version('a1'),
+            loader_helper.adapter_version('a2'),
+        ]
+        self.report(
+            held=held, loading=[loader_helper.adapter_version('a1', '2')]
+        )
         report = self.sent(messages.Report)[-1]
         ready = [str(s.adapter) for s in report.slots if s.ready]
         self.assertEqual(['m/a2@1'], ready)
@@ -163,27 +177,33 @@
     def reports(self):
         return self.sent(messages.Report)
 
-    def test_adapter_that_comes_or_goes_is_told_its_users_at_once(self):
+    def test_change_of_ready_adapters_is_reported_to_users_at_once(self):
         self.want(loader_helper.demand('a2'), at_ms=990)
-        self.report(held=[loader_helper.named('a1')], at_ms=1000)
+        self.report(held=[loader_helper.adapter_version('a1')], at_ms=1000)
         self.report(
-            held=[loader_helper.named('a1'), loader_helper.named('a2')],
+            held=[
+                loader_helper.adapter_version('a1'),
+                loader_helper.adapter_version('a2'),
+            ],
             at_ms=1010,
         )
         self.assertEqual(1, len(self.reports()))
-        self.report(held=[loader_helper.named('a2')], at_ms=1020)
+        self.report(held=[loader_helper.adapter_version('a2')], at_ms=1020)
         self.assertEqual(1, len(self.reports()))
 
-    def test_gateway_with_nothing_here_is_told_a_moment_later(self):
-        """Each load was told to every gateway at once, twice.
+    def test_gateway_without_requests_here_is_sent_the_report_later(self):
+        """Each load was reported to every gateway at once, twice.
 
         With sixty-eight gateways and sixty endpoints that was fourteen
-        thousand messages a second, of which a few dozen were waited for.
+        thousand messages a second, of which a few dozen were needed at once.
         """
         self.open_link('g2', events.Role.GATEWAY)
         self.want(loader_helper.demand('a2'), at_ms=990)
-        self.report(held=[loader_helper.named('a1')], at_ms=1000)
-        held = [loader_helper.named('a1'), loader_helper.named('a2')]
+        self.report(held=[loader_helper.adapter_version('a1')], at_ms=1000)
+        held = [
+            loader_helper.adapter_version('a1'),
+            loader_helper.adapter_version('a2'),
+        ]
         self.report(held=held, at_ms=1010)
         (sent,) = self.of_type(effects.Send)
         self.assertEqual(loader_helper.PEER, sent.peer)
@@ -193,14 +213,14 @@
             {effect.peer for effect in self.of_type(effects.Send)},
         )
 
-    def test_what_waits_over_all_gateways_is_told(self):
+    def test_waiting_tokens_of_all_gateways_are_reported(self):
         self.want(waiting_tokens=2000)
         self.want(waiting_tokens=3000, peer='g2')
         self.want(waiting_tokens=4000, peer='g2')
         self.report(at_ms=1000)
         self.assertEqual(6000, self.reports()[-1].waiting_tokens)
 
-    def test_much_that_waits_is_told_before_the_regular_word(self):
+    def test_large_change_of_waiting_tokens_is_reported_early(self):
         self.want(at_ms=990)
         self.report(at_ms=1000)
         self.want(waiting_tokens=3999, at_ms=1110)
@@ -208,38 +228,38 @@
         self.want(waiting_tokens=4000, at_ms=1120)
         self.assertEqual(4000, self.reports()[-1].waiting_tokens)
 
-    def test_steps_of_a_load_are_told_together(self):
-        """Each waiting request and each order was told to every gateway.
+    def test_steps_of_a_load_are_reported_together(self):
+        """Each waiting request and each order was reported to every gateway.
 
-        With 27 gateways and 24 sidecars that was most of what crossed
-        between failure domains.
+        With 27 gateways and 24 sidecars that was most of the traffic between
+        failure domains.
         """
-        told = 0
+        sent = 0
         self.want(at_ms=990)
-        self.report(held=[loader_helper.named('a1')], at_ms=1000)
+        self.report(held=[loader_helper.adapter_version('a1')], at_ms=1000)
         for at_ms in range(1010, 1100, 10):
             self.want(loader_helper.demand('a1', at_ms // 10), at_ms=at_ms)
             self.want(loader_helper.demand(f'b{at_ms}'), at_ms=at_ms)
-            told += len(self.reports())
-        self.assertEqual(0, told)
+            sent += len(self.reports())
+        self.assertEqual(0, sent)
         self.feed(events.Ticked(1100, 0.5))
         self.assertEqual(1, len(self.reports()))
         self.assertTrue(self.reports()[0].wanted)
 
-    def test_load_that_begins_is_no_news_where_it_was_waited_for(self):
-        """To gateways the adapter comes either way.
+    def test_begin_of_a_wanted_load_is_not_reported(self):
+        """Gateways treat a wanted adapter and a loading one alike.
 
-        Each load was told of three times to every gateway: when it was waited
-        for, when it began and when it ended.
+        Each load was reported three times to every gateway: when requests
+        waited for it, when it began and when it ended.
         """
         self.want(loader_helper.demand('a1'), at_ms=990)
         self.report(at_ms=1000)
         self.assertTrue(self.reports()[-1].wanted)
-        loading = [loader_helper.named('a1')]
+        loading = [loader_helper.adapter_version('a1')]
         self.report(loading=loading, at_ms=1200)
         self.assertEqual([], self.reports())
 
-    def test_demand_of_a_silent_gateway_lapses(self):
+    def test_demand_of_a_silent_gateway_expires(self):
         self.report()
         self.want(loader_helper.demand('a1', 0, 1))
         self.feed(events.Ticked(2501))
@@ -250,7 +270,7 @@
 
 
 class CrashTest(loader_helper.LoaderTestCase):
-    def test_crash_that_one_gateway_saw_is_told_to_the_others(self):
+    def test_crash_is_forwarded_to_the_other_gateways(self):
         self.open_link('g2', events.Role.GATEWAY)
         crash = messages.Crashed('i-1 at g1', 's', ('print',))
         self.receive(crash, peer=loader_helper.PEER)
--- a/test/loader/test_restarts.py
+++ b/test/loader/test_restarts.py
@@ -1,25 +1,25 @@
-"""An endpoint that starts again, under its old name or another."""
+"""An endpoint that restarts, under the same name or another."""
 
 from berylhollow import events
 from berylhollow import messages
 from test.loader import loader_helper
 
 FIRST_MS = 1_790_000_000_000
-"""When the endpoint started first, by its own clock."""
+"""First start time of the endpoint, by its own clock."""
 SECOND_MS = FIRST_MS + 40_000
 OTHER = 'i-2'
 LOST = events.OrderVerdict.LOST
 demand = loader_helper.demand
-named = loader_helper.named
+adapter_version = loader_helper.adapter_version
 
 
 class RestartTestCase(loader_helper.LoaderTestCase):
-    """A loader whose endpoint runs since ``FIRST_MS`` and holds one."""
+    """A loader whose endpoint started at ``FIRST_MS`` and holds an adapter."""
 
     def setUp(self):
         super().setUp()
         self.orders = 3
-        self.report([named('a1')], started_ms=FIRST_MS)
+        self.report([adapter_version('a1')], started_ms=FIRST_MS)
         self.want(demand('a1', 0, 1), started_ms=FIRST_MS)
 
     def restart(self, started_ms=SECOND_MS, at_ms=100, **changes):
@@ -30,11 +30,11 @@
         return self.report(at_ms=at_ms, **values)
 
 
-class OldNameTest(RestartTestCase):
-    def test_endpoint_is_ordered_again_under_its_old_name(self):
-        """An endpoint crashed and started again under the name that it had.
+class SameNameTest(RestartTestCase):
+    def test_restarted_endpoint_receives_orders_under_its_old_name(self):
+        """An endpoint crashed and restarted under the same name.
 
-        Its loader had put the name down as over and never ordered it again:
+        Its loader had marked the name as ended and sent it no more orders:
         every request for an adapter there was refused for the rest of the
         day.
         """
@@ -45,67 +45,76 @@
             (0, loader_helper.ENDPOINT), (order.orders, order.endpoint)
         )
 
-    def test_restart_within_one_heartbeat_is_seen_by_its_start(self):
-        """A restart so quick that as many orders were accepted again.
+    def test_quick_restart_is_detected_by_the_start_time(self):
+        """The endpoint restarts and has soon accepted as many orders again.
 
-        By their number alone nothing had happened, and adapters were
-        believed to be there that went with the old start.
+        The count of orders alone doesn't show such a restart, so the loader
+        took adapters for loaded that the endpoint had lost.
         """
         self.orders = 3
-        self.report([named('a2')], at_ms=100, started_ms=SECOND_MS, orders=3)
-        known = messages.Incarnation(loader_helper.ENDPOINT, SECOND_MS)
-        self.assertEqual(known, self.state.endpoint)
-        self.assertEqual({}, self.state.used_ms)
+        self.report(
+            [adapter_version('a2')], at_ms=100, started_ms=SECOND_MS, orders=3
+        )
+        incarnation = messages.Incarnation(loader_helper.ENDPOINT, SECOND_MS)
+        self.assertEqual(incarnation, self.state.endpoint)
+        self.assertEqual({}, self.state.last_used_ms)
 
     def test_restarts_twice_in_a_row(self):
-        """It crashes again before the list has told of the first restart."""
+        """It crashes again before the list shows the first restart."""
         self.restart()
         self.restart(SECOND_MS + 900, at_ms=200)
-        known = messages.Incarnation(loader_helper.ENDPOINT, SECOND_MS + 900)
-        self.assertEqual(known, self.state.endpoint)
+        incarnation = messages.Incarnation(
+            loader_helper.ENDPOINT, SECOND_MS + 900
+        )
+        self.assertEqual(incarnation, self.state.endpoint)
         self.assertEqual(loader_helper.ENDPOINT, self.order().endpoint)
 
-    def test_start_by_a_clock_that_was_set_back(self):
-        """The clock went back in between: the new start looks older.
+    def test_restart_after_the_clock_was_set_back(self):
+        """The clock was set back, so the new start time is the earlier one.
 
-        It is another start all the same, and is ordered as one.
+        It is a restart all the same, and the new start receives orders.
         """
         self.restart(FIRST_MS - 5000)
         self.assertEqual(FIRST_MS - 5000, self.state.endpoint.started_ms)
         self.assertEqual(loader_helper.MODEL, self.order().name)
 
-    def test_gateway_behind_the_list_does_not_bring_the_old_start_back(self):
-        """A gateway still names the start before, from an older list."""
+    def test_gateway_with_an_outdated_list_does_not_restore_the_old_start(
+        self,
+    ):
+        """A gateway with an older list still names the previous start."""
         self.restart()
         self.end_order(at_ms=110)
         self.want(demand('a1'), at_ms=120, started_ms=FIRST_MS)
         self.assertEqual(SECOND_MS, self.state.endpoint.started_ms)
 
-    def test_answer_to_an_order_of_before_ends_none_of_now(self):
-        """An order is under way while the endpoint restarts.
+    def test_answer_to_an_earlier_order_does_not_end_the_current_one(self):
+        """An order is in flight while the endpoint restarts.
 
-        Its answer comes when the first order to the new start is under way.
-        Taken for that one's, the next would be planned on what is not there.
+        Its answer arrives while the first order to the new start is in
+        flight. If it ended that one, the next order would be planned on a
+        state that the endpoint does not have.
         """
         self.want(demand('a2'), at_ms=50, started_ms=FIRST_MS)
-        before = self.state.order.order_id
+        earlier = self.state.order.order_id
         self.restart()
-        under_way = self.state.order.order_id
-        self.feed(events.OrderEnded(130, before, events.OrderVerdict.ACCEPTED))
-        self.assertEqual(under_way, self.state.order.order_id)
+        current = self.state.order.order_id
+        self.feed(
+            events.OrderEnded(130, earlier, events.OrderVerdict.ACCEPTED)
+        )
+        self.assertEqual(current, self.state.order.order_id)
 
 
 class OtherNameTest(RestartTestCase):
-    def test_gateways_that_know_the_new_name_are_believed_at_once(self):
-        """The sidecar is behind: gateways named the new start before it."""
+    def test_new_name_known_to_gateways_is_used_at_once(self):
+        """Gateways name the new start before the sidecar has noticed it."""
         self.want(demand('a1'), endpoint=OTHER, started_ms=SECOND_MS)
         self.restart()
         self.assertEqual(OTHER, self.order().endpoint)
 
-    def test_name_that_was_only_kept_is_given_up_when_refused(self):
-        """The new start has another name, and refuses orders to the old.
+    def test_assumed_name_is_given_up_when_refused(self):
+        """The endpoint has a new name and refuses orders to the old one.
 
-        The old name with the new start must not be tried without end.
+        The old name with the new start time must not be tried forever.
         """
         self.restart()
         self.end_order(events.OrderVerdict.ANOTHER_INCARNATION, at_ms=110)
@@ -118,27 +127,27 @@
         )
         self.assertEqual(OTHER, self.order().endpoint)
 
-    def test_without_a_start_a_lower_count_tells_the_restart(self):
+    def test_lower_order_count_shows_a_restart_without_start_times(self):
         self.orders = 3
-        self.report([named('a1')], at_ms=50, started_ms=0)
+        self.report([adapter_version('a1')], at_ms=50, started_ms=0)
         self.restart(started_ms=0)
         self.assertIsNone(self.state.endpoint)
 
 
 class StrayOrderTest(RestartTestCase):
-    """An order without an answer that is carried out after a restart."""
+    """An order without an answer that may be carried out after a restart."""
 
-    def lose_an_order(self):
+    def lose_order(self):
         self.orders = 2
         self.feed(events.Ticked(20))
-        self.report([named('a1')], at_ms=20, started_ms=FIRST_MS)
+        self.report([adapter_version('a1')], at_ms=20, started_ms=FIRST_MS)
         self.want(demand('a2'), at_ms=30, started_ms=FIRST_MS)
         self.assertEqual(2, self.order().orders)
         self.end_order(LOST, at_ms=40)
         self.want(at_ms=50, started_ms=FIRST_MS)
 
     def load(self, name, at_ms, *held):
-        """Have one more adapter wanted; return whether it is loaded."""
+        """Request one more adapter; return whether the order is a load."""
         self.feed(events.Ticked(at_ms))
         self.report(held, at_ms=at_ms, started_ms=SECOND_MS)
         self.want(demand(name), at_ms=at_ms + 1, started_ms=SECOND_MS)
@@ -146,30 +155,30 @@
         self.end_order(at_ms=at_ms + 2)
         return order.load
 
-    def test_place_stays_free_while_a_stray_load_is_valid(self):
-        """A load got no answer; then the endpoint started again.
+    def test_slot_stays_free_while_a_stray_load_is_valid(self):
+        """A load got no answer; then the endpoint restarted.
 
-        Seconds later its count of orders fits the stray load by chance. With
-        every place taken the endpoint is asked for more than it can hold,
-        and crashes with all that runs there.
+        Seconds later its count of orders happens to match the stray load. If
+        every slot is taken then, the endpoint is asked to hold more than it
+        can and crashes with all its runs.
         """
-        self.lose_an_order()
+        self.lose_order()
         self.restart(models=(loader_helper.MODEL,))
         self.assertEqual(1, self.state.slots)
         self.assertTrue(self.load('b1', 200))
-        self.assertFalse(self.load('b2', 400, named('b1')))
+        self.assertFalse(self.load('b2', 400, adapter_version('b1')))
 
-    def test_place_is_used_once_no_stray_load_fits_any_more(self):
-        self.lose_an_order()
+    def test_slot_is_used_once_the_stray_load_is_no_longer_valid(self):
+        self.lose_order()
         self.restart(models=(loader_helper.MODEL,))
         self.orders = 3
         self.assertTrue(self.load('b1', 200))
-        self.assertTrue(self.load('b2', 400, named('b1')))
+        self.assertTrue(self.load('b2', 400, adapter_version('b1')))
 
-    def test_place_is_used_when_the_stray_load_is_too_old(self):
-        self.lose_an_order()
+    def test_slot_is_used_when_the_stray_load_has_expired(self):
+        self.lose_order()
         self.restart(models=(loader_helper.MODEL,))
-        late_ms = self.state.options.stray_ms + 100
+        late_ms = self.state.options.stray_load_ms + 100
         self.feed(events.Ticked(late_ms))
         self.report([], at_ms=late_ms, started_ms=SECOND_MS)
         self.want(at_ms=late_ms, started_ms=SECOND_MS)
