--- a/berylhollow/loader/_reducer.py
+++ b/berylhollow/loader/_reducer.py
@@ -97,7 +97,7 @@
     """Remember a load that the endpoint may still carry out.
 
     It matters only after a restart: until then the endpoint's count of
-    accepted orders makes it refuse a late order.
+    accepted orders makes a late order harmless.
     """
     if order.load:
         until_ms = at_ms + state.options.stray_load_ms
--- a/berylhollow/routes/__init__.py
+++ b/berylhollow/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Routes of callers' requests to services, as operators publish them."""
+"""Routing of requests to services, as published by the operators."""
 
 from berylhollow.routes._follower import RouteFollower
 from berylhollow.routes._news import MalformedRecordError
--- a/berylhollow/routes/_follower.py
+++ b/berylhollow/routes/_follower.py
@@ -1,4 +1,4 @@
-"""Follow the published routes: inside a gateway's reducer."""
+"""Follows the published routes; part of a gateway's reducer."""
 
 import collections.abc
 
@@ -14,62 +14,65 @@
 Effects = list[effects.Effect]
 Decode = collections.abc.Callable[[bytes], _news.News | None]
 
-WAIT_MS = 1500
-"""How long a read waits for news.
+READ_WAIT_MS = 1500
+"""How long the store may hold a read until new records arrive.
 
-A connection to the store can go silent without a reset. A read that is held
-longer than this by the store was lost with its connection, so this bounds
-how late a change is seen: with the margin of the call, under the two seconds
-within which users want a new version in force.
+A connection to the store can go silent without a reset. A read that takes
+longer than this was lost with its connection, so this bounds how late a change
+is seen: with the margin of the call, under the two seconds within which users
+want a new version in force.
 """
 
-RETRY_MS = 250
+READ_RETRY_MS = 250
 """Pause after a failed read: four calls a second while the store is down."""
 
-LOST_READ_MS = 4000
-"""A read of which nothing was heard for so long is begun again."""
+READ_TIMEOUT_MS = 4000
+"""Time without an answer after which a read is begun again."""
 
 
 class RouteFollower:
-    """Keeps ``current`` at the newest version seen; a pure machine.
-
-    It never goes back to an older version, whatever order the records of
-    two reads arrive in, and whatever copy the log comes back from. ``decode``
-    turns a record into news, None if the record is none of ours. Keys are
-    used for ``key_bound_ms`` at most after they were taken away, however long
-    that is if it is 0. ``era`` is that of the log in which ``next_offset``
-    holds, None before the first read.
+    """Keeps ``current`` at the newest published routes; does no I/O itself.
+
+    It never returns to an older version, in whatever order the records of two
+    reads arrive and from whatever copy the log is restored.
+
+    - ``decode`` decodes a record; it returns None for records of no concern
+      here.
+    - ``key_bound_ms`` limits how long a key may be used after its revocation;
+      0 sets no limit.
+    - ``era`` is the era of the log for which ``next_offset`` is valid, None
+      before the first read.
     """
 
     def __init__(self, stream: str, decode: Decode, key_bound_ms: int = 0):
         self.stream = stream
         self.decode = decode
         self.current: _view.RouteView | None = None
-        self.newest: dict[str, _view.NewestVersion] = {}
-        self.keys = _key_proof.KeyProof(key_bound_ms)
-        self.keys_held = True
+        self.newest_versions: dict[str, _view.NewestVersion] = {}
+        self.key_proof = _key_proof.KeyProof(key_bound_ms)
+        self.were_keys_valid = True
         self.era: int | None = None
         self.next_offset: int | None = None
-        self.read_at_ms: int | None = None
-        self.retry_at_ms = 0
-        self.fresh_ms: int | None = None
-        self.lost = False
-        self.misread: tuple[str, str] | None = None
+        self.read_begun_ms: int | None = None
+        self.next_read_ms = 0
+        self.last_read_ms: int | None = None
+        self.is_unreadable = False
+        self.last_malformed: tuple[str, str] | None = None
 
     def start(self, at_ms: int) -> Effects:
-        """Begin with the newest record of each kind."""
-        self.read_at_ms = at_ms
+        """Read the newest record of each key."""
+        self.read_begun_ms = at_ms
         return [effects.ReadNewest(self.stream)]
 
     def handle(self, event: events.Event) -> Effects:
-        """Take in what was read; read on at once after news."""
+        """Apply the result of a read and begin the next one."""
         match event:
             case events.LogRead() if event.stream == self.stream:
-                return self._read(event)
+                return self._handle_read(event)
             case events.LogReadFailed() if event.stream == self.stream:
-                return self._failed(event)
+                return self._handle_read_failure(event)
             case events.LogChecked() if event.stream == self.stream:
-                return self._checked(event)
+                return self._handle_check(event)
         return []
 
     def tick(
@@ -79,104 +82,109 @@
         peers: list[str],
         self_id: str,
     ) -> Effects:
-        """Read on when a pause is over, or a read was lost."""
-        done = self._check(at_ms)
-        if self.read_at_ms is not None:
-            if at_ms - self.read_at_ms < LOST_READ_MS:
+        """Begin the next read after a pause or when a read was lost."""
+        done = self._begin_check_if_due(at_ms)
+        if self.read_begun_ms is not None:
+            if at_ms - self.read_begun_ms < READ_TIMEOUT_MS:
                 return done
-        elif at_ms < self.retry_at_ms:
+        elif at_ms < self.next_read_ms:
             return done
-        return done + self._next(at_ms)
+        return done + self._begin_read(at_ms)
 
     def keys_hold(self, at_ms: int) -> bool:
-        """Tell whether keys are known well enough to use them."""
-        return self.keys.holds(at_ms)
+        """Return whether the keys are proven recently enough to be used."""
+        return self.key_proof.is_valid(at_ms)
 
     def keys_age_ms(self, at_ms: int) -> int:
-        """Return how old the newest proof of the keys is."""
-        return self.keys.age_ms(at_ms)
+        """Return the age of the newest proof of the keys."""
+        return self.key_proof.age_ms(at_ms)
 
     def status(self, at_ms: int) -> following.Status:
-        """Return how far we are, for operators."""
-        age_ms = -1 if self.fresh_ms is None else at_ms - self.fresh_ms
+        """Return the revision in force and its age, for operators."""
+        age_ms = -1 if self.last_read_ms is None else at_ms - self.last_read_ms
         revision = 0 if self.current is None else self.current.revision
         return following.Status(
             revision, self.next_offset or 0, '', age_ms, True
         )
 
-    def _next(self, at_ms: int) -> Effects:
-        self.read_at_ms = at_ms
+    def _begin_read(self, at_ms: int) -> Effects:
+        self.read_begun_ms = at_ms
         if self.next_offset is None:
             return [effects.ReadNewest(self.stream)]
-        return [effects.ReadLog(self.stream, self.next_offset, WAIT_MS)]
+        return [effects.ReadLog(self.stream, self.next_offset, READ_WAIT_MS)]
 
-    def _check(self, at_ms: int) -> Effects:
-        """Read for a new proof of the keys, if that is due."""
-        if not self._has_keys():
+    def _begin_check_if_due(self, at_ms: int) -> Effects:
+        """Begin a read that proves the keys again, if one is due."""
+        if not self._requires_keys():
             return []
-        done = self._tell_keys(at_ms)
-        if self.next_offset is None or not self.keys.due(at_ms):
+        done = self._log_key_state(at_ms)
+        if self.next_offset is None or not self.key_proof.is_check_due(at_ms):
             return done
-        self.keys.checks(at_ms)
+        self.key_proof.begin_check(at_ms)
         return [*done, effects.CheckLog(self.stream, self.next_offset)]
 
-    def _tell_keys(self, at_ms: int) -> Effects:
-        """Say when keys can't be proven any more, and when they are again."""
-        hold = self.keys_hold(at_ms)
-        if hold == self.keys_held:
+    def _log_key_state(self, at_ms: int) -> Effects:
+        """Log when the proof of the keys expires and when it is renewed."""
+        are_keys_valid = self.keys_hold(at_ms)
+        if are_keys_valid == self.were_keys_valid:
             return []
-        self.keys_held = hold
-        text = 'keys are proven again' if hold else 'keys can not be proven'
+        self.were_keys_valid = are_keys_valid
+        text = (
+            'keys are proven again'
+            if are_keys_valid
+            else 'keys can not be proven'
+        )
         fields = (
             ('age_ms', self.keys_age_ms(at_ms)),
-            ('bound_ms', self.keys.bound_ms),
+            ('bound_ms', self.key_proof.bound_ms),
             ('revision', self.current.revision),
         )
-        return [effects.Log(text, fields, warning=not hold)]
+        return [effects.Log(text, fields, warning=not are_keys_valid)]
 
-    def _has_keys(self) -> bool:
+    def _requires_keys(self) -> bool:
         return self.current is not None and self.current.has_workspaces
 
-    def _checked(self, event: events.LogChecked) -> Effects:
+    def _handle_check(self, event: events.LogChecked) -> Effects:
         read = event.read
-        used = read is not None and read.era == self.era
-        self.keys.checked(event.at_ms, used)
+        is_current = read is not None and read.era == self.era
+        self.key_proof.end_check(event.at_ms, is_current)
         if read is None:
             return []
-        return self._take_read(read)
+        return self._apply_read(read)
 
-    def _read(self, event: events.LogRead) -> Effects:
-        done = self._take_read(event)
-        return done + self._next(event.at_ms)
+    def _handle_read(self, event: events.LogRead) -> Effects:
+        done = self._apply_read(event)
+        return done + self._begin_read(event.at_ms)
 
-    def _take_read(self, event: events.LogRead) -> Effects:
+    def _apply_read(self, event: events.LogRead) -> Effects:
         done: Effects = []
-        if self.lost:
-            self.lost = False
+        if self.is_unreadable:
+            self.is_unreadable = False
             fields = (('stream', self.stream),)
             done.append(effects.Log('stream is read again', fields))
         if self.era is not None and event.era < self.era:
             return done
         if self.era is not None and event.era > self.era:
-            done += self._log_came_back(event)
+            done += self._restart_after_restore(event)
         if self.next_offset is None and event.from_offset is not None:
-            # Asked for before offsets were given out again.
+            # This read began before the log was restored.
             return done
         self.era = event.era
-        self.keys.ends_at(event.next_offset)
+        self.key_proof.record_log_end(event.next_offset)
         for entry in event.entries:
-            done += self._take(entry, event.at_ms)
+            done += self._apply_record(entry, event.at_ms)
         self.next_offset = max(self.next_offset or 0, event.next_offset)
-        self.fresh_ms = event.at_ms
+        self.last_read_ms = event.at_ms
         if event.begun_ms is not None and event.whole:
-            self.keys.read(event.begun_ms)
+            self.key_proof.record_read(event.begun_ms)
         return done
 
-    def _log_came_back(self, event: events.LogRead) -> Effects:
-        """Offsets were given out again: begin anew with the newest records.
+    def _restart_after_restore(self, event: events.LogRead) -> Effects:
+        """Start over with the newest records after the log was restored.
 
-        What is in force stays, and keys are not taken for proven before the
-        operators can have written again what the log has lost.
+        The restored log assigns its offsets anew. The routes in force stay.
+        Keys do not count as proven until the operators have had time to write
+        again what the log has lost.
         """
         fields = (
             ('stream', self.stream),
@@ -189,25 +197,25 @@
         )
         self.era = event.era
         self.next_offset = None
-        self.keys.log_came_back(event.at_ms)
+        self.key_proof.record_log_restore(event.at_ms)
         text = 'log came back from an older copy'
         return [effects.Log(text, fields, warning=True)]
 
-    def _failed(self, event: events.LogReadFailed) -> Effects:
-        """Try again after a pause; from the newest if records are gone."""
-        self.read_at_ms = None
-        self.retry_at_ms = event.at_ms + RETRY_MS
+    def _handle_read_failure(self, event: events.LogReadFailed) -> Effects:
+        """Retry after a pause; from the newest records if some are gone."""
+        self.read_begun_ms = None
+        self.next_read_ms = event.at_ms + READ_RETRY_MS
         if event.first_offset is None:
-            return self._lost(event.at_ms)
+            return self._log_unreadable(event.at_ms)
         self.next_offset = None
         fields = (('stream', event.stream), ('first', event.first_offset))
         return [effects.Log('history was dropped', fields, warning=True)]
 
-    def _lost(self, at_ms: int) -> Effects:
-        """Say once that the stream can't be read, and how old it is."""
-        if self.lost:
+    def _log_unreadable(self, at_ms: int) -> Effects:
+        """Log once that the stream can't be read, with the data's age."""
+        if self.is_unreadable:
             return []
-        self.lost = True
+        self.is_unreadable = True
         fields = (
             ('stream', self.stream),
             ('revision', self.current.revision if self.current else 0),
@@ -215,45 +223,45 @@
         )
         return [effects.Log('stream can not be read', fields, warning=True)]
 
-    def _take(self, entry: messages.LogEntry, at_ms: int) -> Effects:
+    def _apply_record(self, entry: messages.LogEntry, at_ms: int) -> Effects:
         try:
-            news = self.decode(entry.data)
+            record = self.decode(entry.data)
         except _news.MalformedRecordError as error:
-            return self._misread(error)
-        self.misread = None
-        if isinstance(news, _table.RouteTable):
-            self.keys.written(entry.offset)
-            return self._take_table(news)
-        if isinstance(news, _news.NewAdapterVersion):
-            return self._take_version(news, at_ms)
+            return self._log_malformed(error)
+        self.last_malformed = None
+        if isinstance(record, _table.RouteTable):
+            self.key_proof.record_configuration(entry.offset)
+            return self._apply_table(record)
+        if isinstance(record, _news.NewAdapterVersion):
+            return self._apply_version(record, at_ms)
         return []
 
-    def _misread(self, error: _news.MalformedRecordError) -> Effects:
-        """Say once what can't be read, however often it is written."""
-        what = (error.key, str(error))
-        if what == self.misread:
+    def _log_malformed(self, error: _news.MalformedRecordError) -> Effects:
+        """Log a malformed record, once even if it is written repeatedly."""
+        malformed = (error.key, str(error))
+        if malformed == self.last_malformed:
             return []
-        self.misread = what
+        self.last_malformed = malformed
         fields = (('stream', self.stream), ('reason', str(error)))
         return [effects.Log('record not understood', fields, True)]
 
-    def _take_table(self, table: _table.RouteTable) -> Effects:
+    def _apply_table(self, table: _table.RouteTable) -> Effects:
         if self.current is not None and (
             table.version <= self.current.revision
         ):
             return []
-        self.current = _view.RouteView.of(table, self.newest)
+        self.current = _view.RouteView.from_table(table, self.newest_versions)
         return []
 
-    def _take_version(
-        self, news: _news.NewAdapterVersion, at_ms: int
+    def _apply_version(
+        self, record: _news.NewAdapterVersion, at_ms: int
     ) -> Effects:
-        adapter = news.adapter
-        known = self.newest.get(adapter.adapter)
+        adapter = record.adapter
+        known = self.newest_versions.get(adapter.adapter)
         before = _view.FIRST_VERSION if known is None else known.version
         if int(adapter.version) <= int(before):
             return []
-        self.newest[adapter.adapter] = _view.NewestVersion(
+        self.newest_versions[adapter.adapter] = _view.NewestVersion(
             adapter.version, at_ms, before
         )
         fields = (
--- a/berylhollow/routes/_key_proof.py
+++ b/berylhollow/routes/_key_proof.py
@@ -1,93 +1,95 @@
-"""How long ago the keys in force were known to be the newest ones."""
+"""Tracks how recently the keys in force were proven to be current."""
 
 import dataclasses
 
 from berylhollow import clock
 
-CHECK_SHARE = 0.4
-"""Of the bound: how old a proof grows before the keys are read for a new one.
-The rest is for a read that fails and those that follow it."""
+CHECK_AGE_FRACTION = 0.4
+"""Age of a proof at which the keys are read again, as a fraction of the bound.
+The rest leaves time for a read that fails and for its retries."""
 
-MARGIN_SHARE = 0.05
-"""Of the bound: left for clocks that do not go alike."""
+CLOCK_MARGIN_FRACTION = 0.05
+"""Margin for clocks that run at different rates, a fraction of the bound."""
 
-RETRY_MS = 250
-"""Pause after a check that failed."""
+CHECK_RETRY_MS = 250
+"""Pause after a failed check."""
 
-LOST_CHECK_MS = 1500
-"""A check of which nothing was heard for so long is begun again."""
+CHECK_TIMEOUT_MS = 1500
+"""Time without an answer after which a check is begun again."""
 
-REWRITE_MS = 2300
-"""How long after the log came back from an older copy it may lack what was
-written there before: its writers have written it again by then."""
+LOG_REWRITE_MS = 2300
+"""How long a log restored from an older copy may lack records that it held
+before: after that its writers have written them again."""
 
 
 @dataclasses.dataclass(slots=True)
 class KeyProof:
-    """The newest read that shows which keys are in force; a pure machine.
-
-    A revocation that was confirmed before a read began is seen by it, so a
-    proof is as old as the beginning of its read. ``bound_ms`` is how long
-    after its revocation a key may still be used, 0 if no bound is set.
-    While the log may lack a newer configuration no read is a proof: until
-    one is written from ``old_end`` on, where the log ended as it was first
-    read again, or a read begins at ``rewritten_ms``.
+    """Holds when the keys in force were last proven to be current.
+
+    A read sees every revocation that was confirmed before the read began, so
+    a proof is as old as the beginning of its read. ``bound_ms`` is how long a
+    key may be used after its revocation, 0 for no bound.
+
+    While a restored log may lack a newer configuration, no read is a proof.
+    This ends when a configuration is written at or after ``restored_end``,
+    the end of the log at the first read after the restore, or with a read
+    that begins at ``rewrite_done_ms`` or later.
     """
 
     bound_ms: int = 0
     proven_ms: int = clock.NEVER_MS
-    checking_ms: int | None = None
+    check_begun_ms: int | None = None
     retry_at_ms: int = 0
-    rewritten_ms: int | None = None
-    old_end: int | None = None
+    rewrite_done_ms: int | None = None
+    restored_end: int | None = None
 
-    def read(self, begun_ms: int) -> None:
-        """A read that was begun then has shown all that the log holds."""
-        if self.rewritten_ms is not None:
-            if begun_ms < self.rewritten_ms:
+    def record_read(self, begun_ms: int) -> None:
+        """Record a read, begun at ``begun_ms``, of all the log's records."""
+        if self.rewrite_done_ms is not None:
+            if begun_ms < self.rewrite_done_ms:
                 return
-            self.rewritten_ms = None
+            self.rewrite_done_ms = None
         self.proven_ms = max(self.proven_ms, begun_ms)
 
-    def log_came_back(self, at_ms: int) -> None:
-        """The log may lack what was written last."""
-        self.rewritten_ms = at_ms + REWRITE_MS
-        self.old_end = None
+    def record_log_restore(self, at_ms: int) -> None:
+        """Record that the log was restored and may lack recent records."""
+        self.rewrite_done_ms = at_ms + LOG_REWRITE_MS
+        self.restored_end = None
 
-    def ends_at(self, next_offset: int) -> None:
-        """The log has been read up to an offset."""
-        if self.old_end is None:
-            self.old_end = next_offset
+    def record_log_end(self, next_offset: int) -> None:
+        """Record the end of the log if this is the first read of it."""
+        if self.restored_end is None:
+            self.restored_end = next_offset
 
-    def written(self, offset: int) -> None:
-        """The operators have written a configuration."""
-        if self.old_end is not None and offset >= self.old_end:
-            self.rewritten_ms = None
+    def record_configuration(self, offset: int) -> None:
+        """Record that the operators wrote a configuration at an offset."""
+        if self.restored_end is not None and offset >= self.restored_end:
+            self.rewrite_done_ms = None
 
     def age_ms(self, at_ms: int) -> int:
-        """Return how old the proof is."""
+        """Return the age of the proof."""
         return at_ms - self.proven_ms
 
-    def holds(self, at_ms: int) -> bool:
-        """Tell whether a request with a key may be sent on now."""
+    def is_valid(self, at_ms: int) -> bool:
+        """Return whether requests with a key may be forwarded now."""
         if not self.bound_ms:
             return True
-        return self.age_ms(at_ms) < self.bound_ms * (1 - MARGIN_SHARE)
+        return self.age_ms(at_ms) < self.bound_ms * (1 - CLOCK_MARGIN_FRACTION)
 
-    def due(self, at_ms: int) -> bool:
-        """Tell whether to read for a new proof now."""
+    def is_check_due(self, at_ms: int) -> bool:
+        """Return whether a read for a new proof should begin now."""
         if not self.bound_ms or at_ms < self.retry_at_ms:
             return False
-        if self.checking_ms is not None:
-            return at_ms - self.checking_ms >= LOST_CHECK_MS
-        return self.age_ms(at_ms) >= self.bound_ms * CHECK_SHARE
+        if self.check_begun_ms is not None:
+            return at_ms - self.check_begun_ms >= CHECK_TIMEOUT_MS
+        return self.age_ms(at_ms) >= self.bound_ms * CHECK_AGE_FRACTION
 
-    def checks(self, at_ms: int) -> None:
-        """A read for a new proof begins."""
-        self.checking_ms = at_ms
+    def begin_check(self, at_ms: int) -> None:
+        """Record that a read for a new proof begins."""
+        self.check_begun_ms = at_ms
 
-    def checked(self, at_ms: int, succeeded: bool) -> None:
-        """The read for a new proof has ended."""
-        self.checking_ms = None
+    def end_check(self, at_ms: int, succeeded: bool) -> None:
+        """Record that the read for a new proof has ended."""
+        self.check_begun_ms = None
         if not succeeded:
-            self.retry_at_ms = at_ms + RETRY_MS
+            self.retry_at_ms = at_ms + CHECK_RETRY_MS
--- a/berylhollow/routes/_news.py
+++ b/berylhollow/routes/_news.py
@@ -1,4 +1,4 @@
-"""What operators publish, decoded."""
+"""Decoded records that operators publish."""
 
 import dataclasses
 
@@ -7,9 +7,9 @@
 
 
 class MalformedRecordError(Exception):
-    """A published record that does not have the format agreed on.
+    """Raised for a published record that is not in the agreed format.
 
-    ``key`` is that of the record, empty if that could not be read either.
+    ``key`` is the key of the record, empty if it could not be read either.
     """
 
     def __init__(self, reason: str, key: str = ''):
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NewAdapterVersion:
-    """A new version of an adapter is to be served from now on."""
+    """Announces a version of an adapter that is to be served from now on."""
 
     adapter: messages.AdapterVersion
 
--- a/berylhollow/routes/_table.py
+++ b/berylhollow/routes/_table.py
@@ -9,8 +9,8 @@
 class Repeat(enum.Enum):
     """How often a request of a route may run.
 
-    STREAM answers are a series of events; such a request runs at most once
-    unless its route says that it may be resumed.
+    The response to a STREAM request is a series of events. Such a request
+    runs at most once unless its route allows it to be resumed.
     """
 
     ANY_NUMBER = 'any_number'
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Share:
-    """A service and its weight among those that share a route."""
+    """A service of a route and its weight in the traffic split."""
 
     service: str
     weight: float
@@ -28,12 +28,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one host below one path prefix.
-
-    ``timeout_ms`` is the longest that a request may be kept waiting,
-    ``objective_ms`` by when it should be answered (a stream: begin to be).
-    ``priority`` 0 is the most urgent. ``most_runs`` bounds the endpoints that
-    one request may be given to. ``public`` requests need no key.
+    """Settings of the requests to one host under one path prefix.
+
+    - ``timeout_ms``: longest time that a caller may wait for the response.
+    - ``objective_ms``: target time to the response, for a stream to its
+      beginning.
+    - ``priority``: 0 is the most urgent.
+    - ``most_runs``: maximum number of endpoints that one request is sent to.
+    - ``public``: requests need no key.
     """
 
     name: str
@@ -52,11 +54,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Engine:
-    """What the model engines of a service can hold.
+    """Capacity of the model engines of a service.
 
-    ``adapter_slots`` is how many adapters one holds at once, ``batch`` how
-    many requests it runs at once, ``adapters`` the declared number of
-    adapters by model.
+    ``adapter_slots`` is how many adapters an engine holds at once, ``batch``
+    how many requests it runs at once and ``adapters`` the declared number of
+    adapters of each model.
     """
 
     batch: int
@@ -68,7 +70,8 @@
 class Service:
     """A service; ``engine`` is None for a plain one.
 
-    ``connections`` is how many an endpoint takes from all its callers.
+    ``connections`` is the maximum number of connections that an endpoint
+    accepts from all its callers together.
     """
 
     name: str
@@ -78,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Bounds on what a caller may send, and how long it may take."""
+    """Limits on the size of a request and the time to receive it."""
 
     header_bytes: int
     body_bytes: int
@@ -88,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteTable:
-    """Everything that one version declares.
+    """One version of the routes, with services, limits and workspaces.
 
     Without ``workspaces`` callers need no keys.
     """
--- a/berylhollow/routes/_view.py
+++ b/berylhollow/routes/_view.py
@@ -1,4 +1,4 @@
-"""Look up what the published routes say of one request."""
+"""Look up the route and the terms of a request in the published routes."""
 
 import collections
 import dataclasses
@@ -11,32 +11,32 @@
 from berylhollow import workspaces
 
 ADAPTER_SEPARATOR = '/'
-"""Between the model and the adapter in the name that a request gives."""
+"""Separates model and adapter in the name that a request gives."""
 
 FIRST_VERSION = '1'
-"""The version of an adapter of which no newer one was published."""
+"""Version of an adapter for which no newer one was published."""
 
-SUPERSEDED_MS = 2500
-"""How long the version before stays in use while the new one is loaded.
+SUPERSEDED_VERSION_MS = 2500
+"""How long the previous version may be used while the new one is loaded.
 
-Half of the five seconds within which users want a new version everywhere:
-the rest covers the queue of an endpoint, since a request that is sent in
-time may begin to run late.
+Half of the five seconds within which users want a new version everywhere. The
+other half covers the queue of an endpoint: a request that is sent in time may
+begin to run late.
 """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NewestVersion:
-    """The newest version of an adapter, and the one that it replaces."""
+    """The newest version of an adapter and the version that it replaces."""
 
     version: str
     learned_ms: int
-    before: str
+    previous: str
 
 
 @dataclasses.dataclass(frozen=True)
 class DeclaredService:
-    """What the policies weigh for a service of the published routes."""
+    """Policy weights of a service: defaults, as routes declare none."""
 
     load_stall_weight: float = 1.0
     batch_efficiency_weight: float = 1.0
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DeclaredLimits:
-    """No limit is declared of any caller."""
+    """Limits of a caller: none, as routes declare no limits."""
 
     in_flight: int | None = None
     rate_per_s: float | None = None
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DeclaredCaller:
-    """Every caller has the same share."""
+    """A caller with the default weight, as routes declare no callers."""
 
     weight: float = 1.0
     limits: DeclaredLimits = DeclaredLimits()
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DeclaredAdapter:
-    """Every adapter has the same priority."""
+    """An adapter with the default priority, as routes declare none."""
 
     priority: int = 0
 
@@ -69,24 +69,26 @@
 class RouteView:
     """The routes in force; implements ``following.View``.
 
-    ``by_host`` holds the routes of each host, those with the longest prefix
-    first. ``newest`` is shared with the follower, which adds to it.
-    ``by_key`` has the workspaces by the digests of their keys.
+    ``by_host`` holds the routes of each host, longest prefix first.
+    ``newest_versions`` is shared with the follower, which adds to it.
+    ``by_key`` maps digests of keys to their workspaces.
     """
 
     table: _table.RouteTable
     by_host: dict[str, tuple[_table.Route, ...]]
     services: dict[str, _table.Service]
-    newest: dict[str, NewestVersion]
+    newest_versions: dict[str, NewestVersion]
     by_key: dict[bytes, workspaces.Workspace] = dataclasses.field(
         default_factory=dict
     )
 
     @classmethod
-    def of(
-        cls, table: _table.RouteTable, newest: dict[str, NewestVersion]
+    def from_table(
+        cls,
+        table: _table.RouteTable,
+        newest_versions: dict[str, NewestVersion],
     ) -> 'RouteView':
-        """Return the view of a table."""
+        """Build the lookup tables of a route table."""
         by_host = collections.defaultdict(list)
         for route in table.routes:
             by_host[route.host.lower()].append(route)
@@ -100,7 +102,7 @@
             for workspace in table.workspaces
             for key in workspace.keys
         }
-        return cls(table, ordered, services, newest, by_key)
+        return cls(table, ordered, services, newest_versions, by_key)
 
     @property
     def revision(self) -> int:
@@ -115,10 +117,10 @@
         return self.table.workspaces
 
     def route(self, host: str, path: str) -> _table.Route | None:
-        """Return the route with the longest prefix that begins the path."""
-        plain = path.partition('?')[0]
+        """Return the route with the longest prefix that matches the path."""
+        path_only = path.partition('?')[0]
         for route in self.by_host.get(host.lower(), ()):
-            if plain.startswith(route.prefix):
+            if path_only.startswith(route.prefix):
                 return route
         return None
 
@@ -129,19 +131,19 @@
         route = self.route(request.host, request.path)
         if route is None:
             return errors.Kind.NOT_FOUND
-        workspace = self._workspace(route, request.credential)
+        workspace = self._authenticate(route, request.credential)
         if isinstance(workspace, errors.Kind):
             return workspace
         adapter = request.adapter
         if adapter is not None:
-            adapter = self.newest_of(adapter.adapter)
+            adapter = self.newest_version(adapter.adapter)
         return following.Terms(
-            service=_pick(route.shares, seed),
+            service=_choose_service(route.shares, seed),
             adapter=adapter,
             deadline_ms=min(request.deadline_ms, route.timeout_ms),
             priority=_priority(route, workspace),
             most_runs=route.most_runs,
-            repeatable=_repeatable(route),
+            repeatable=_is_repeatable(route),
             objective_ms=route.objective_ms,
             route=route.name,
             workspace=workspace,
@@ -150,13 +152,16 @@
     def workspace(
         self, head: events.RequestHead
     ) -> workspaces.Workspace | errors.Kind | None:
-        """Return whose request it is, None if nobody's, or why it fails."""
+        """Return the workspace of a request, or why the request fails.
+
+        None for a request without a workspace.
+        """
         route = self.route(head.host, head.path)
         if route is None:
             return errors.Kind.NOT_FOUND
-        return self._workspace(route, head.credential)
+        return self._authenticate(route, head.credential)
 
-    def _workspace(
+    def _authenticate(
         self, route: _table.Route, credential: bytes | None
     ) -> workspaces.Workspace | errors.Kind | None:
         if not self.table.workspaces:
@@ -166,24 +171,24 @@
             return errors.Kind.UNKNOWN_KEY
         return found
 
-    def newest_of(self, adapter: str) -> messages.AdapterVersion:
-        """Return the newest version of an adapter that is known."""
-        known = self.newest.get(adapter)
+    def newest_version(self, adapter: str) -> messages.AdapterVersion:
+        """Return the newest known version of an adapter."""
+        known = self.newest_versions.get(adapter)
         version = FIRST_VERSION if known is None else known.version
         return messages.AdapterVersion(adapter, version)
 
     def acceptable(
         self, adapter: messages.AdapterVersion, at_ms: int
     ) -> tuple[messages.AdapterVersion, ...]:
-        """Return the versions that a request may run on, newest first."""
-        known = self.newest.get(adapter.adapter)
+        """Return the versions that may serve a request, newest first."""
+        known = self.newest_versions.get(adapter.adapter)
         if known is None:
-            return (self.newest_of(adapter.adapter),)
+            return (self.newest_version(adapter.adapter),)
         newest = messages.AdapterVersion(adapter.adapter, known.version)
-        if at_ms - known.learned_ms >= SUPERSEDED_MS:
+        if at_ms - known.learned_ms >= SUPERSEDED_VERSION_MS:
             return (newest,)
-        before = messages.AdapterVersion(adapter.adapter, known.before)
-        return (newest, before)
+        previous = messages.AdapterVersion(adapter.adapter, known.previous)
+        return (newest, previous)
 
     def service(self, name: str) -> DeclaredService | None:
         return DeclaredService() if name in self.services else None
@@ -196,7 +201,7 @@
         return declared.engine.adapter_slots
 
     def models(self, service: str) -> tuple[str, ...]:
-        """Return the models that endpoints of a service are to hold."""
+        """Return the models that the endpoints of a service should hold."""
         declared = self.services.get(service)
         if declared is None or declared.engine is None:
             return ()
@@ -217,17 +222,17 @@
     return workspace.priority
 
 
-def _repeatable(route: _table.Route) -> bool:
+def _is_repeatable(route: _table.Route) -> bool:
     if route.repeat is _table.Repeat.STREAM:
         return route.resumable
     return route.repeat is _table.Repeat.ANY_NUMBER
 
 
-def _pick(shares: tuple[_table.Share, ...], seed: float) -> str:
-    """Return a service by the weights; ``seed`` is in [0, 1)."""
-    left = seed * sum(share.weight for share in shares)
+def _choose_service(shares: tuple[_table.Share, ...], seed: float) -> str:
+    """Choose a service by weight; ``seed`` is a random number in [0, 1)."""
+    remaining = seed * sum(share.weight for share in shares)
     for share in shares:
-        left -= share.weight
-        if left < 0:
+        remaining -= share.weight
+        if remaining < 0:
             return share.service
     return shares[-1].service
--- a/test/routes/test_view.py
+++ b/test/routes/test_view.py
@@ -1,4 +1,4 @@
-"""Routes: which one a request takes, and on what terms."""
+"""Which route a request takes and on what terms it is served."""
 
 import unittest
 
@@ -14,7 +14,9 @@
 
 def view(*entries, newest=None):
     record = builders.configuration_record(routes=list(entries))
-    return routes.RouteView.of(platform.decode_news(record), newest or {})
+    return routes.RouteView.from_table(
+        platform.decode_news(record), newest or {}
+    )
 
 
 def request(path='/lohu930/x', **changes):
@@ -74,17 +76,19 @@
         name = builders.adapter_name()
         newest = {name: _view.NewestVersion('4', 1000, '3')}
         found = view(builders.route(), newest=newest)
-        named = messages.AdapterVersion(name, '')
-        terms = found.resolve(request(adapter=named), 0)
+        adapter = messages.AdapterVersion(name, '')
+        terms = found.resolve(request(adapter=adapter), 0)
         self.assertEqual('4', terms.adapter.version)
 
-    def test_superseded_version_is_taken_only_for_a_while(self):
+    def test_superseded_version_is_accepted_for_a_limited_time(self):
         name = builders.adapter_name()
         newest = {name: _view.NewestVersion('4', 1000, '3')}
         found = view(builders.route(), newest=newest)
-        named = messages.AdapterVersion(name, '4')
-        soon = found.acceptable(named, 1000 + _view.SUPERSEDED_MS - 1)
-        later = found.acceptable(named, 1000 + _view.SUPERSEDED_MS)
+        adapter = messages.AdapterVersion(name, '4')
+        soon = found.acceptable(
+            adapter, 1000 + _view.SUPERSEDED_VERSION_MS - 1
+        )
+        later = found.acceptable(adapter, 1000 + _view.SUPERSEDED_VERSION_MS)
         self.assertEqual(['4', '3'], [a.version for a in soon])
         self.assertEqual(['4'], [a.version for a in later])
 
@@ -115,7 +119,7 @@
         """Routes must not go back.
 
         A process has served version 9; a read that was begun earlier and
-        answered later brings version 7. A caller would get an answer that
+        answered later returns version 7. A caller would get an answer that
         only the old version allows.
         """
         self.read(builders.configuration_record(9))
@@ -123,11 +127,11 @@
         self.assertEqual(9, self.follower.current.revision)
 
     def test_dropped_history_is_read_from_the_newest_records(self):
-        """The store forgets its history while nobody reads.
+        """The store drops its history while no gateway reads.
 
-        The next read is told that its records are gone. Reading on from the
-        first one kept would miss a version that only the newest record of
-        its key still holds.
+        The next read fails because its records are gone. Reading on from the
+        first remaining offset would miss a version that only the newest
+        record of its key still holds.
         """
         self.read(builders.configuration_record(9))
         failed = events.LogReadFailed(
@@ -138,7 +142,7 @@
         self.assertEqual(platform.CONFIGURATION_STREAM, wanted.stream)
         self.assertIsNone(self.follower.next_offset)
 
-    def test_loss_and_return_of_the_store_are_told_once(self):
+    def test_loss_and_return_of_the_store_are_logged_once(self):
         self.read(builders.configuration_record(9))
         failed = events.LogReadFailed(50, platform.CONFIGURATION_STREAM)
         texts = []
@@ -149,7 +153,7 @@
             ['stream can not be read', 'stream is read again'], texts
         )
 
-    def test_malformed_record_is_told_and_skipped(self):
+    def test_malformed_record_is_logged_and_skipped(self):
         done = self.read(b'\x06config{', builders.configuration_record(9))
         self.assertEqual('record not understood', done[0].text)
         self.assertEqual(9, self.follower.current.revision)
