--- a/berylhollow/loader/_plan.py
+++ b/berylhollow/loader/_plan.py
@@ -90,7 +90,7 @@
     """Return the idle adapter with the lowest request rate, and that rate.
 
     None if all adapters are in use: an unload waits until the runs have
-    ended, and the slot can't be used until then.
+    ended and blocks its slot until then.
     """
     loading = _by_name(state.adapters.loading)
     idle = [
--- a/test/loader/test_loader.py
+++ b/test/loader/test_loader.py
@@ -118,7 +118,7 @@
         self.assertEqual((False, 'm/a2'), (order.load, order.name))
 
     def test_adapter_in_use_is_not_evicted(self):
-        """An unload waits for the runs, and its slot can't be used so long."""
+        """An unload waits for the runs and blocks its slot until then."""
         self.report(
             held=[
                 loader_helper.adapter_version('a1'),
