--- a/berylhollow/sidecar/_admission.py
+++ b/berylhollow/sidecar/_admission.py
@@ -1,4 +1,4 @@
-"""Which attempts are taken, and what becomes of those that wait."""
+"""Admission of offered attempts, and their cancel, resume and expiry."""
 
 from berylhollow import effects
 from berylhollow import errors
@@ -13,12 +13,12 @@
 Effects = list[effects.Effect]
 
 
-def offered(state: _state.State, event: events.MessageReceived) -> Effects:
-    """Take an attempt or refuse it; a refused one truly did not run.
+def admit(state: _state.State, event: events.MessageReceived) -> Effects:
+    """Queue an offered attempt or refuse it; a refused one has not run.
 
-    Guards against a doubled offer (a link that broke and came back): it
-    would run the request twice. The attempt id is remembered from the first
-    offer, or from a resume that came before it.
+    Guards against a duplicate offer after a link broke and was reopened,
+    which would run the request twice. The attempt id is kept from the first
+    offer, or from a resume that arrived before it.
     """
     offer = event.message
     if offer.attempt_id in state.attempts:
@@ -28,7 +28,7 @@
         peer=event.peer,
         arrived_ms=event.at_ms,
         deadline_ms=event.at_ms + offer.remaining_ms,
-        isolate=_isolation.needs_isolation(state, offer, event.at_ms),
+        isolate=_isolation.should_isolate(state, offer, event.at_ms),
     )
     state.attempts[offer.attempt_id] = attempt
     if offer.adapter is not None:
@@ -42,8 +42,8 @@
     return done + _loads.order(state, event.at_ms)
 
 
-def cancelled(state: _state.State, event: events.MessageReceived) -> Effects:
-    """Stop an attempt that nobody waits for."""
+def cancel(state: _state.State, event: events.MessageReceived) -> Effects:
+    """Cancel an attempt whose gateway no longer waits for it."""
     attempt = state.attempts.get(event.message.attempt_id)
     if attempt is None or attempt.cancelled:
         return []
@@ -57,19 +57,19 @@
     return [effects.ForgetRun(attempt.offer.attempt_id)]
 
 
-def resumed(state: _state.State, event: events.MessageReceived) -> Effects:
-    """Send the answer of an attempt again from where the gateway has it.
+def resume(state: _state.State, event: events.MessageReceived) -> Effects:
+    """Resend the answer of an attempt from the frame the gateway needs next.
 
-    An attempt that this process never saw did not run here. Its id is kept,
-    so that an offer still under way on the old link can't run after we have
-    said so.
+    An attempt that is unknown to this process did not run here. Its id is
+    kept, so that an offer still in flight on the old link can't run after
+    the gateway was told so.
     """
     message = event.message
     attempt = state.attempts.get(message.attempt_id)
     if attempt is None:
-        return _never_seen(state, event)
+        return _deny_unknown_attempt(state, event)
     attempt.peer = event.peer
-    attempt.unlinked_ms = None
+    attempt.unlinked_since_ms = None
     done: Effects = []
     if attempt.started is not None:
         done.append(effects.Send(event.peer, attempt.started))
@@ -84,7 +84,7 @@
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """End waiting attempts at their deadline, forget old ended ones."""
+    """Fail queued attempts past their deadline, drop old ended ones."""
     done: Effects = []
     for attempt_id in list(state.queue):
         attempt = state.attempts[attempt_id]
@@ -93,13 +93,13 @@
                 state, attempt, errors.Kind.DEADLINE_EXCEEDED, at_ms
             )
     done += _shedding.shed(state, at_ms)
-    return done + _forget(state, at_ms)
+    return done + _forget_ended(state, at_ms)
 
 
 def _refusal(
     state: _state.State, offer: messages.Offer, at_ms: int
 ) -> errors.Kind | None:
-    if state.stopping or state.deposed:
+    if state.stopping or state.superseded:
         return errors.Kind.LEAVING
     if offer.remaining_ms <= 0:
         return errors.Kind.DEADLINE_EXCEEDED
@@ -114,7 +114,9 @@
     return None
 
 
-def _never_seen(state: _state.State, event: events.MessageReceived) -> Effects:
+def _deny_unknown_attempt(
+    state: _state.State, event: events.MessageReceived
+) -> Effects:
     failed = messages.Failed(
         event.message.attempt_id,
         errors.Kind.ENDPOINT_UNREACHABLE,
@@ -155,11 +157,11 @@
     )
 
 
-def _forget(state: _state.State, at_ms: int) -> Effects:
-    """Forget what ended long ago, the oldest first, as far as it is over.
+def _forget_ended(state: _state.State, at_ms: int) -> Effects:
+    """Drop attempts that ended long ago, oldest first.
 
-    An ended attempt whose cancel is not confirmed still holds its pin, and
-    its record is what gives the pin back.
+    Stops at an ended attempt whose cancel is not confirmed: it still holds
+    its pin, and its record is needed to release the pin.
     """
     oldest = at_ms - state.options.keep_ended_ms
     done: Effects = []
--- a/berylhollow/sidecar/_demands.py
+++ b/berylhollow/sidecar/_demands.py
@@ -1,17 +1,17 @@
-"""What requests wait for and what slots are worth, for the policy."""
+"""Inputs of the adapter policy: awaited adapters and slot values."""
 
 from berylhollow import messages
 from berylhollow import policy
 from berylhollow.sidecar import _state
 
-EMPTY_VALUE = -1.0
-PRESENT = (_state.SlotPhase.READY, _state.SlotPhase.LOADING)
+EMPTY_SLOT_VALUE = -1.0
+HELD_OR_LOADING = (_state.SlotPhase.READY, _state.SlotPhase.LOADING)
 
 
-def wants(state: _state.State, at_ms: int) -> list[policy.Want]:
-    """Return the adapters that requests wait for and no slot has or gets.
+def awaited_adapters(state: _state.State, at_ms: int) -> list[policy.Want]:
+    """Return the adapters that requests wait for and no slot holds or loads.
 
-    A load under way is shared by all who wait for its adapter.
+    A load in flight serves all requests that wait for its adapter.
     """
     waiting: dict[messages.AdapterVersion, list[_state.Attempt]] = {}
     for attempt_id in state.queue:
@@ -19,23 +19,29 @@
         adapter = attempt.offer.adapter
         if adapter is not None:
             waiting.setdefault(adapter, []).append(attempt)
-    present = {slot.adapter for slot in state.slots if slot.phase in PRESENT}
+    present = {
+        slot.adapter for slot in state.slots if slot.phase in HELD_OR_LOADING
+    }
     return [
-        _want(state, adapter, attempts, at_ms)
+        _awaited_adapter(state, adapter, attempts, at_ms)
         for adapter, attempts in waiting.items()
         if adapter not in present
     ]
 
 
 def slot_value(state: _state.State, slot: _state.Slot, at_ms: int) -> float:
-    """Return what a slot's content is worth to the policy."""
+    """Return the policy's value of keeping a slot's content."""
     if slot.phase is _state.SlotPhase.EMPTY or slot.adapter is None:
-        return EMPTY_VALUE
-    return state.adapter_policy.eviction.value(held(state, slot, at_ms), at_ms)
+        return EMPTY_SLOT_VALUE
+    return state.adapter_policy.eviction.value(
+        held_adapter(state, slot, at_ms), at_ms
+    )
 
 
-def held(state: _state.State, slot: _state.Slot, at_ms: int) -> policy.Held:
-    """Return a slot's adapter as the policy sees it."""
+def held_adapter(
+    state: _state.State, slot: _state.Slot, at_ms: int
+) -> policy.Held:
+    """Return the policy's view of a slot's adapter."""
     return policy.Held(
         adapter=slot.adapter,
         loaded_ms=slot.loaded_ms,
@@ -47,26 +53,26 @@
 
 
 def priority_of(state: _state.State, adapter: messages.AdapterVersion) -> int:
-    """Return the priority that the configuration gives to an adapter."""
+    """Return the configured priority of an adapter."""
     if state.follower.current is None:
         return 0
     declared = state.follower.current.adapter(adapter.adapter)
     return declared.priority if declared is not None else 0
 
 
-def stalled_ms(
+def load_stall_ms(
     state: _state.State, attempt: _state.Attempt, at_ms: int
 ) -> int:
-    """Return how long an attempt has waited for a load, up to now."""
+    """Return how long an attempt has waited for a load so far."""
     adapter = attempt.offer.adapter
     if adapter is None:
         return 0
-    slot = state.slot_with(adapter)
+    slot = state.ready_slot(adapter)
     until_ms = at_ms if slot is None else min(at_ms, slot.loaded_ms)
     return max(0, until_ms - attempt.arrived_ms)
 
 
-def _want(
+def _awaited_adapter(
     state: _state.State,
     adapter: messages.AdapterVersion,
     attempts: list[_state.Attempt],
@@ -85,13 +91,13 @@
 
 
 def slack_ms(state: _state.State, attempt: _state.Attempt, at_ms: int) -> int:
-    """Return how much later a load could begin for an attempt on time."""
-    needed_ms = state.load_ms + run_ms(state, attempt)
+    """Return how long a load can still wait for an attempt to be on time."""
+    needed_ms = state.load_ms + expected_run_ms(state, attempt)
     return int(attempt.deadline_ms - at_ms - needed_ms)
 
 
-def run_ms(state: _state.State, attempt: _state.Attempt) -> float:
-    """Return how long a run is expected to take."""
+def expected_run_ms(state: _state.State, attempt: _state.Attempt) -> float:
+    """Return the expected duration of a run."""
     if attempt.offer.adapter is None:
         return state.run_ms
     return state.token_ms * max(1, attempt.offer.output_tokens)
--- a/berylhollow/sidecar/_isolation.py
+++ b/berylhollow/sidecar/_isolation.py
@@ -1,8 +1,8 @@
-"""Crashes of the endpoint, and runs that must have nothing beside them.
+"""Crash reports, and isolated runs of requests suspected of a crash.
 
-The sidecar is the witness of a crash: what ran at that moment is suspect.
-It tells its gateways first and then that the attempts are lost, in this
-order on each link, so that no gateway tries a suspect again in company.
+The sidecar detects a crash of its endpoint: every request that ran at that
+moment is suspect. It reports the crash before the lost attempts, in this
+order on each link, so that no gateway retries a suspect alongside others.
 """
 
 from berylhollow import effects
@@ -13,17 +13,17 @@
 Effects = list[effects.Effect]
 
 
-def crashed(state: _state.State, at_ms: int) -> Effects:
-    """Tell of a crash: everything that ran at this moment is suspect.
+def report_crash(state: _state.State, at_ms: int) -> Effects:
+    """Report a crash with all running requests as suspects.
 
-    All connections to an endpoint break at its crash, so a crash is told
-    once, until the endpoint shows that it lives on in the same epoch.
+    A crash breaks all connections to the endpoint, so it is reported only
+    once, until the endpoint answers again in the same epoch.
     """
     crash_id = f'{state.options.instance}/{state.epoch}/{state.incarnation}'
-    crash_id += f'/{at_ms if state.options.plain else state.survived}'
-    if crash_id == state.crash_told or not state.running:
+    crash_id += f'/{at_ms if state.options.plain else state.survived_crashes}'
+    if crash_id == state.reported_crash_id or not state.running:
         return []
-    state.crash_told = crash_id
+    state.reported_crash_id = crash_id
     fingerprints = tuple(
         dict.fromkeys(
             state.attempts[attempt_id].offer.fingerprint
@@ -40,56 +40,58 @@
 
 
 def survived(state: _state.State) -> None:
-    """The endpoint answers in the epoch in which we told of a crash.
+    """Record that the endpoint still answers in the epoch of a crash report.
 
-    Guards against a connection that broke for another reason: the crash
-    that follows in the same epoch would be taken for the one told already.
+    The connection had then broken for another reason. Without this, a real
+    crash later in the same epoch would count as already reported.
     """
-    if state.crash_told and not state.options.plain:
-        state.crash_told = ''
-        state.survived += 1
+    if state.reported_crash_id and not state.options.plain:
+        state.reported_crash_id = ''
+        state.survived_crashes += 1
 
 
-def needs_isolation(
+def should_isolate(
     state: _state.State, offer: messages.Offer, at_ms: int
 ) -> bool:
-    """Tell whether an offer must run with nothing beside it."""
+    """Tell whether an offer must run alone at the endpoint."""
     own = state.suspects.suspect(offer.fingerprint, at_ms)
     return offer.isolate or own
 
 
 def may_begin(state: _state.State, attempt: _state.Attempt) -> bool:
-    """Tell whether a run may begin beside what runs now."""
+    """Tell whether a run may start alongside the current runs."""
     if not state.running:
         return True
-    return not attempt.isolate and not _isolated_running(state)
+    return not attempt.isolate and not _is_isolated_run_active(state)
 
 
-def holds_back(
+def should_hold_back_others(
     state: _state.State, attempt: _state.Attempt, at_ms: int
 ) -> bool:
-    """Tell whether a waiting suspect keeps others from beginning.
+    """Tell whether other runs must wait for a queued suspect to start.
 
-    Without this a suspect would never find the endpoint empty under load.
-    Between two suspects the others get a turn, and while its adapter is not
-    loaded there is nothing to hold the endpoint for.
+    Without this the endpoint would never be empty for a suspect under load.
+    Others may run for ``isolation_gap_ms`` between two suspects, and as long
+    as the suspect's adapter is not loaded.
     """
     if not attempt.isolate:
         return False
     adapter = attempt.offer.adapter
-    if adapter is not None and state.slot_with(adapter) is None:
+    if adapter is not None and state.ready_slot(adapter) is None:
         return False
     gap_ms = state.options.isolation_gap_ms
-    return at_ms >= state.isolated_ended_ms + gap_ms
+    return at_ms >= state.last_isolated_end_ms + gap_ms
 
 
-def ended(state: _state.State, attempt: _state.Attempt, at_ms: int) -> None:
-    """Note the end of a run that had the endpoint for itself."""
+def record_isolated_end(
+    state: _state.State, attempt: _state.Attempt, at_ms: int
+) -> None:
+    """Record when an isolated run ended."""
     if attempt.isolate:
-        state.isolated_ended_ms = at_ms
+        state.last_isolated_end_ms = at_ms
 
 
-def _isolated_running(state: _state.State) -> bool:
+def _is_isolated_run_active(state: _state.State) -> bool:
     return any(
         state.attempts[attempt_id].isolate for attempt_id in state.running
     )
--- a/berylhollow/sidecar/_loads.py
+++ b/berylhollow/sidecar/_loads.py
@@ -1,4 +1,4 @@
-"""Which adapter is loaded next, and into which slot."""
+"""Chooses the next adapter to load and the slot to load it into."""
 
 from berylhollow import effects
 from berylhollow import errors
@@ -19,33 +19,33 @@
 
 
 def order(state: _state.State, at_ms: int) -> Effects:
-    """Order the load that is worth most, if a slot can be had for it."""
+    """Order the most valuable load for which a slot is available."""
     if state.options.plain or not _takeover.may_order(state, at_ms):
         return []
-    if _under_way(state, at_ms):
+    if _is_load_in_flight(state, at_ms):
         return []
-    plan = _plan(state, at_ms)
-    done = _give_up(state, plan, at_ms)
+    plan = _plan_loads(state, at_ms)
+    done = _refuse_late_attempts(state, plan, at_ms)
     for want, value in zip(plan.order, plan.values, strict=True):
-        slot = _victim(state, want.adapter, at_ms)
+        slot = _choose_slot(state, want.adapter, at_ms)
         if slot is None:
             continue
         if not _permits.may_load(state, at_ms):
-            done += _permits.ask(state, want, value, at_ms)
+            done += _permits.request_permit(state, want, value, at_ms)
         if _permits.may_load(state, at_ms):
-            done.append(_load(state, slot, want.adapter, at_ms))
+            done.append(_order_load(state, slot, want.adapter, at_ms))
         return done
-    return done + _permits.unneeded(state, at_ms)
+    return done + _permits.return_unused_permit(state, at_ms)
 
 
-def granted(state: _state.State, event: events.MessageReceived) -> Effects:
-    """Use a permit for what is wanted most by now, or give it back."""
-    done = _permits.granted(state, event)
+def use_grant(state: _state.State, event: events.MessageReceived) -> Effects:
+    """Use a permit for the most valuable load now, or return it."""
+    done = _permits.store_permit(state, event)
     return done + order(state, event.at_ms)
 
 
-def succeeded(state: _state.State, event: events.LoadSucceeded) -> Effects:
-    """A slot is ready, if the engine is still the one that was ordered."""
+def finish_load(state: _state.State, event: events.LoadSucceeded) -> Effects:
+    """Mark a slot as ready unless the engine has restarted since."""
     slot = state.slot_of_order(event.order_id)
     if slot is None or event.epoch != state.epoch:
         return []
@@ -55,7 +55,7 @@
     ):
         return []
     slot.phase = _state.SlotPhase.READY
-    _orders.loaded(slot)
+    _orders.mark_loaded(slot)
     slot.used_ms = event.at_ms
     slot.loaded_ms = event.at_ms
     took_ms = event.at_ms - slot.ordered_ms
@@ -63,34 +63,34 @@
         state.load_ms = average.smoothed(state.load_ms, took_ms)
     slot.runs = 0
     state.backoffs.pop(slot.adapter, None)
-    done = [_loaded(slot, event.at_ms)]
-    done += _permits.ended(state, True)
+    done = [_loaded_log(slot, event.at_ms)]
+    done += _permits.end_load(state, True)
     done += _runs.dispatch(state, event.at_ms)
     return done + order(state, event.at_ms)
 
 
-def failed(state: _state.State, event: events.LoadFailed) -> Effects:
-    """Let the adapter wait before the next try, the others go on."""
+def fail_load(state: _state.State, event: events.LoadFailed) -> Effects:
+    """Back off for the adapter whose load failed, and load others."""
     slot = state.slot_of_order(event.order_id)
     if slot is None or slot.phase is not _state.SlotPhase.LOADING:
         return []
     adapter = slot.adapter
     if event.certainty is events.Certainty.UNKNOWN:
-        _orders.uncertain(slot, event.at_ms)
+        _orders.mark_uncertain(slot, event.at_ms)
     else:
         slot.phase = _state.SlotPhase.EMPTY
         slot.adapter = None
-        _orders.not_done(slot)
+        _orders.mark_not_done(slot)
     if event.reason is events.LoadFailure.RATE:
-        _permits.refused_by_rate(state, event.at_ms)
+        _permits.widen_interval(state, event.at_ms)
     else:
         _back_off(state, adapter, event.at_ms)
-    done = [_load_failed(adapter, event)]
-    done += _permits.ended(state, False)
+    done = [_load_failed_log(adapter, event)]
+    done += _permits.end_load(state, False)
     return done + order(state, event.at_ms)
 
 
-def _loaded(slot: _state.Slot, at_ms: int) -> effects.Log:
+def _loaded_log(slot: _state.Slot, at_ms: int) -> effects.Log:
     fields = (
         ('adapter', slot.adapter.adapter),
         ('version', slot.adapter.version),
@@ -100,7 +100,7 @@
     return effects.Log('adapter loaded', fields)
 
 
-def _load_failed(
+def _load_failed_log(
     adapter: messages.AdapterVersion, event: events.LoadFailed
 ) -> effects.Log:
     fields = (
@@ -112,25 +112,27 @@
     return effects.Log('load failed', fields, warning=True)
 
 
-def _under_way(state: _state.State, at_ms: int) -> bool:
-    """Tell whether a load is under way that does not seem to hang.
+def _is_load_in_flight(state: _state.State, at_ms: int) -> bool:
+    """Tell whether a load is in flight that does not seem to hang.
 
-    One at a time keeps to the weight store's full speed. Guards against a
-    load that hangs: all others would wait until its timeout.
+    Loading one adapter at a time gives each the weight store's full speed.
+    Loads older than ``load_hang_ms`` don't count, or one that hangs would
+    hold up all others until its timeout.
     """
-    newest_ms = at_ms - state.options.load_hang_ms
+    hanging_since_ms = at_ms - state.options.load_hang_ms
     return any(
-        slot.phase is _state.SlotPhase.LOADING and slot.ordered_ms > newest_ms
+        slot.phase is _state.SlotPhase.LOADING
+        and slot.ordered_ms > hanging_since_ms
         for slot in state.slots
     )
 
 
-def _plan(state: _state.State, at_ms: int) -> policy.LoadPlan:
-    """Return what the policy makes of the adapters that are waited for."""
+def _plan_loads(state: _state.State, at_ms: int) -> policy.LoadPlan:
+    """Return the policy's load plan for the adapters requests wait for."""
     wants = [
         want
-        for want in _demands.wants(state, at_ms)
-        if _due(state, want.adapter, at_ms)
+        for want in _demands.awaited_adapters(state, at_ms)
+        if _is_backoff_over(state, want.adapter, at_ms)
     ]
     if not wants:
         return policy.LoadPlan()
@@ -139,10 +141,10 @@
     return state.adapter_policy.load_order.plan(wants, interval_ms, weights)
 
 
-def _give_up(
+def _refuse_late_attempts(
     state: _state.State, plan: policy.LoadPlan, at_ms: int
 ) -> Effects:
-    """Refuse at once what can't be on time, and say when to come back."""
+    """Refuse attempts that can't meet their deadline, with a retry delay."""
     if not plan.given_up:
         return []
     waits_ms = {late.adapter: late.wait_ms for late in plan.given_up}
@@ -158,24 +160,25 @@
     return done
 
 
-def _due(
+def _is_backoff_over(
     state: _state.State, adapter: messages.AdapterVersion, at_ms: int
 ) -> bool:
     backoff = state.backoffs.get(adapter)
     return backoff is None or at_ms >= backoff.until_ms
 
 
-def _victim(
+def _choose_slot(
     state: _state.State, adapter: messages.AdapterVersion, at_ms: int
 ) -> _state.Slot | None:
     """Return the slot to load into: an empty one, else the least valuable.
 
-    Only a slot without pins: whatever the policy says, an adapter in use is
-    never evicted. One that may hold the adapter already goes first.
+    Only slots without pins are considered: an adapter in use is never
+    evicted, whatever the policy says. A slot that may already hold the
+    adapter comes first.
     """
     free = [
         slot
-        for slot in _orders.homes(state, adapter)
+        for slot in _orders.candidate_slots(state, adapter)
         if _orders.may_load(state, slot, at_ms)
     ]
     return min(
@@ -188,16 +191,16 @@
     )
 
 
-def _load(
+def _order_load(
     state: _state.State,
     slot: _state.Slot,
     adapter: messages.AdapterVersion,
     at_ms: int,
 ) -> effects.LoadAdapter:
-    _permits.used(state, at_ms)
+    _permits.use_permit(state, at_ms)
     slot.ordered_ms = at_ms
-    state.orders += 1
-    slot.order_id = f'{state.incarnation}.{state.orders}'
+    state.order_count += 1
+    slot.order_id = f'{state.incarnation}.{state.order_count}'
     slot.phase = _state.SlotPhase.LOADING
     slot.adapter = adapter
     slot.distrusted = False
--- a/berylhollow/sidecar/_orphans.py
+++ b/berylhollow/sidecar/_orphans.py
@@ -1,4 +1,4 @@
-"""Attempts that no gateway takes the answer of any more."""
+"""Attempts whose gateway is gone: cancelled unless resumed in time."""
 
 from berylhollow import effects
 from berylhollow import errors
@@ -9,28 +9,27 @@
 Effects = list[effects.Effect]
 
 
-def link_closed(state: _state.State, event: events.LinkClosed) -> None:
-    """What a gateway has here waits for it to resume."""
+def mark_unlinked(state: _state.State, event: events.LinkClosed) -> None:
+    """Start the wait for a gateway to resume its active attempts."""
     for attempt in _active(state):
         if attempt.peer == event.peer:
-            attempt.unlinked_ms = event.at_ms
+            attempt.unlinked_since_ms = event.at_ms
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """End what was not resumed in time after its link was lost.
+    """Cancel attempts that were not resumed in time after a link was lost.
 
-    Guards against an answer that nobody takes: its gateway died, or gave it
-    up while its word of that was lost with the link. It shows as a slot that
-    is pinned for ever and a stop that waits for its whole grace. The
-    endpoint is read no further than frames may be kept, so such a run does
-    not end by itself.
+    Guards against an answer that no gateway reads: its gateway died, or its
+    cancel was lost with the link. The slot would stay pinned for ever, and a
+    graceful stop would take its whole grace period. Such a run does not end
+    by itself, since the endpoint is not read once the frame buffer is full.
     """
-    last_ms = at_ms - state.options.orphan_ms
+    lost_before_ms = at_ms - state.options.orphan_ms
     done: Effects = []
     for attempt in _active(state):
-        unlinked_ms = attempt.unlinked_ms
-        if unlinked_ms is not None and unlinked_ms <= last_ms:
-            done += _end(state, attempt, at_ms)
+        unlinked_ms = attempt.unlinked_since_ms
+        if unlinked_ms is not None and unlinked_ms <= lost_before_ms:
+            done += _cancel_orphan(state, attempt, at_ms)
     return done
 
 
@@ -39,8 +38,10 @@
     return [state.attempts[attempt_id] for attempt_id in active]
 
 
-def _end(state: _state.State, attempt: _state.Attempt, at_ms: int) -> Effects:
-    attempt.unlinked_ms = None
+def _cancel_orphan(
+    state: _state.State, attempt: _state.Attempt, at_ms: int
+) -> Effects:
+    attempt.unlinked_since_ms = None
     if attempt.cancelled:
         return []
     attempt.cancelled = True
--- a/berylhollow/sidecar/_permits.py
+++ b/berylhollow/sidecar/_permits.py
@@ -1,11 +1,11 @@
-"""Permits to load from the weight store, and our own pace without one.
-
-A gateway grants the permits of all sidecars linked to it, under the weight
-store's limits. Which gateway, each sidecar decides for itself by rendezvous
-over its links, so that all agree without a word. The permit is a hint: with
-two coordinators the weight store refuses some loads, which are tried again;
-with none, each sidecar loads at its own jittered pace, which widens when the
-weight store refuses.
+"""Permits to load from the weight store, and local pacing without one.
+
+One gateway, the load coordinator, grants permits to all sidecars linked to
+it, within the weight store's limits. Each sidecar chooses the coordinator by
+rendezvous hashing over its links, so that all agree without communication.
+A permit is only a hint: with two coordinators the weight store refuses some
+loads, which are retried; with none, each sidecar loads at its own interval
+with jitter, which widens when the weight store refuses a load.
 """
 
 from berylhollow import effects
@@ -16,49 +16,51 @@
 
 Effects = list[effects.Effect]
 COORDINATOR_KEY = 'loads'
-FASTER = 0.8
-SLOWER = 2.0
+SUCCESS_INTERVAL_FACTOR = 0.8
+REFUSAL_INTERVAL_FACTOR = 2.0
 
 
 def coordinator(state: _state.State) -> str | None:
-    """Return the gateway to ask for permits, None without a link."""
+    """Return the gateway that grants permits, None without a link."""
     return policy.rendezvous.highest(COORDINATOR_KEY, state.links)
 
 
 def may_load(state: _state.State, at_ms: int) -> bool:
     """Tell whether a load may be ordered now."""
     pacing = state.pacing
-    if pacing.permit and at_ms < pacing.lapses_ms:
+    if pacing.permit and at_ms < pacing.permit_expires_ms:
         return True
-    if coordinator(state) is not None and not _silent(state, at_ms):
+    if coordinator(state) is not None and not _is_coordinator_silent(
+        state, at_ms
+    ):
         return False
-    return at_ms >= pacing.next_ms
+    return at_ms >= pacing.next_load_ms
 
 
 def interval_ms(state: _state.State) -> float:
-    """Return how far our next loads lie apart, as far as is known."""
+    """Return the expected interval between this sidecar's loads."""
     pacing = state.pacing
     own_ms = max(state.load_ms, state.options.load_interval_ms)
     if pacing.permit or coordinator(state) is None:
         return own_ms
-    return max(pacing.turn_ms, own_ms)
+    return max(pacing.grant_wait_ms, own_ms)
 
 
-def ask(
+def request_permit(
     state: _state.State, want: policy.Want, value: float, at_ms: int
 ) -> Effects:
-    """Tell the coordinator of our best wish, when it changes or is old."""
+    """Request a permit if the wanted load changed or the request is old."""
     pacing = state.pacing
     peer = coordinator(state)
     if peer is None:
         return []
-    asked = pacing.asked
+    asked = pacing.last_request
     same = asked is not None and (
         (asked.adapter, asked.waiting) == (want.adapter, want.waiting)
     )
-    if same and at_ms - pacing.asked_ms < state.options.load_ask_ms:
+    if same and at_ms - pacing.last_request_ms < state.options.load_ask_ms:
         return []
-    pacing.asked = messages.LoadWanted(
+    pacing.last_request = messages.LoadWanted(
         instance=state.options.instance,
         service=state.options.service,
         adapter=want.adapter,
@@ -67,99 +69,109 @@
         priority=want.priority,
         value=value,
     )
-    pacing.asked_ms = at_ms
-    if pacing.unanswered_ms is None:
-        pacing.unanswered_ms = at_ms
-    return [effects.Send(peer, pacing.asked)]
+    pacing.last_request_ms = at_ms
+    if pacing.unanswered_since_ms is None:
+        pacing.unanswered_since_ms = at_ms
+    return [effects.Send(peer, pacing.last_request)]
 
 
-def granted(state: _state.State, event: events.MessageReceived) -> Effects:
-    """Keep a permit; one that comes on top of another is given back."""
+def store_permit(
+    state: _state.State, event: events.MessageReceived
+) -> Effects:
+    """Store a granted permit; return it if one is already held."""
     pacing = state.pacing
-    pacing.unanswered_ms = None
+    pacing.unanswered_since_ms = None
     message = event.message
-    if pacing.permit and event.at_ms < pacing.lapses_ms:
-        return [_returned(state, event.peer, message.permit)]
+    if pacing.permit and event.at_ms < pacing.permit_expires_ms:
+        return [_return_permit(state, event.peer, message.permit)]
     pacing.permit = message.permit
-    pacing.granter = event.peer
-    pacing.lapses_ms = event.at_ms + message.for_ms
+    pacing.permit_peer = event.peer
+    pacing.permit_expires_ms = event.at_ms + message.for_ms
     return []
 
 
-def deferred(state: _state.State, event: events.MessageReceived) -> Effects:
-    """The coordinator is there: wait for its permit."""
-    state.pacing.unanswered_ms = None
-    state.pacing.turn_ms = float(event.message.for_ms)
+def record_deferral(
+    state: _state.State, event: events.MessageReceived
+) -> Effects:
+    """Record the coordinator's answer that a permit will come later."""
+    state.pacing.unanswered_since_ms = None
+    state.pacing.grant_wait_ms = float(event.message.for_ms)
     return []
 
 
-def used(state: _state.State, at_ms: int) -> None:
-    """A load begins: it takes the permit, or our own turn."""
+def use_permit(state: _state.State, at_ms: int) -> None:
+    """Spend the permit on a starting load, or else pace the next load."""
     pacing = state.pacing
-    pacing.asked = None
-    pacing.unanswered_ms = None
-    if pacing.permit and at_ms < pacing.lapses_ms:
-        pacing.used_permit = pacing.permit
-        pacing.used_granter = pacing.granter
+    pacing.last_request = None
+    pacing.unanswered_since_ms = None
+    if pacing.permit and at_ms < pacing.permit_expires_ms:
+        pacing.active_permit = pacing.permit
+        pacing.active_permit_peer = pacing.permit_peer
         pacing.permit = 0
         return
-    pacing.used_permit = 0
-    _wait(state, at_ms)
+    pacing.active_permit = 0
+    _schedule_next_load(state, at_ms)
 
 
-def ended(state: _state.State, loaded: bool) -> Effects:
-    """A load is over: give its permit back, and learn our own pace."""
+def end_load(state: _state.State, loaded: bool) -> Effects:
+    """Return the permit of an ended load; shorten the interval on success."""
     pacing = state.pacing
     if loaded:
-        shorter = pacing.interval_ms * FASTER
+        shorter = pacing.interval_ms * SUCCESS_INTERVAL_FACTOR
         pacing.interval_ms = max(state.options.load_interval_ms, shorter)
-    if not pacing.used_permit:
+    if not pacing.active_permit:
         return []
     message = messages.LoadEnded(
-        state.options.instance, pacing.used_permit, loaded
+        state.options.instance, pacing.active_permit, loaded
     )
-    pacing.used_permit = 0
-    return [effects.Send(pacing.used_granter, message)]
+    pacing.active_permit = 0
+    return [effects.Send(pacing.active_permit_peer, message)]
 
 
-def refused_by_rate(state: _state.State, at_ms: int) -> None:
-    """The weight store refused: others load too, so load less often."""
+def widen_interval(state: _state.State, at_ms: int) -> None:
+    """Widen the load interval after a refusal by the weight store."""
     pacing = state.pacing
     pacing.interval_ms = min(
         state.options.load_longest_interval_ms,
-        max(pacing.interval_ms, state.options.load_interval_ms) * SLOWER,
+        max(pacing.interval_ms, state.options.load_interval_ms)
+        * REFUSAL_INTERVAL_FACTOR,
     )
-    _wait(state, at_ms)
+    _schedule_next_load(state, at_ms)
 
 
-def unneeded(state: _state.State, at_ms: int) -> Effects:
-    """Nothing is to be loaded: give back a permit that was not used."""
+def return_unused_permit(state: _state.State, at_ms: int) -> Effects:
+    """Return the unused permit when there is nothing to load."""
     pacing = state.pacing
-    pacing.asked = None
-    pacing.unanswered_ms = None
+    pacing.last_request = None
+    pacing.unanswered_since_ms = None
     if not pacing.permit:
         return []
     permit, pacing.permit = pacing.permit, 0
-    if at_ms >= pacing.lapses_ms:
+    if at_ms >= pacing.permit_expires_ms:
         return []
-    return [_returned(state, pacing.granter, permit)]
+    return [_return_permit(state, pacing.permit_peer, permit)]
 
 
-def _silent(state: _state.State, at_ms: int) -> bool:
-    """Tell whether the coordinator has not answered for too long."""
-    since_ms = state.pacing.unanswered_ms
+def _is_coordinator_silent(state: _state.State, at_ms: int) -> bool:
+    """Tell whether the coordinator has been silent for too long."""
+    since_ms = state.pacing.unanswered_since_ms
     if since_ms is None:
         return False
     return at_ms - since_ms >= state.options.coordinator_silence_ms
 
 
-def _wait(state: _state.State, at_ms: int) -> None:
-    """Set our own next turn, with jitter so that sidecars spread."""
+def _schedule_next_load(state: _state.State, at_ms: int) -> None:
+    """Schedule the next load without a permit, with jitter.
+
+    Jitter keeps the sidecars from loading at the same time.
+    """
     pacing = state.pacing
     interval_ms = max(pacing.interval_ms, state.options.load_interval_ms)
-    pacing.next_ms = at_ms + int(interval_ms * (0.5 + pacing.seed))
+    pacing.next_load_ms = at_ms + int(interval_ms * (0.5 + pacing.seed))
 
 
-def _returned(state: _state.State, peer: str, permit: int) -> effects.Send:
+def _return_permit(
+    state: _state.State, peer: str, permit: int
+) -> effects.Send:
     message = messages.LoadEnded(state.options.instance, permit, False)
     return effects.Send(peer, message)
--- a/berylhollow/sidecar/_reducer.py
+++ b/berylhollow/sidecar/_reducer.py
@@ -1,4 +1,4 @@
-"""One reducer over all events of a sidecar."""
+"""The sidecar's reducer: dispatches each event to its handler."""
 
 from berylhollow import effects
 from berylhollow import events
@@ -23,18 +23,18 @@
 def reduce(
     state: _state.State, event: events.Event
 ) -> tuple[_state.State, Effects]:
-    """Take one event in and return the state and what is to be done."""
+    """Apply an event; return the state and the effects to carry out."""
     handler = _HANDLERS.get(type(event))
     if handler is None:
         return state, []
     done = handler(state, event)
-    return state, done + _counts.of(state, event, done)
+    return state, done + _counts.counts_for(state, event, done)
 
 
 def _started(state: _state.State, event: events.Started) -> Effects:
     state.incarnation = event.incarnation
     done = state.follower.start(event.at_ms)
-    done += _takeover.begin(state, event)
+    done += _takeover.start(state, event)
     return done + _engine.tick(state, event.at_ms)
 
 
@@ -45,7 +45,7 @@
     done = _engine.tick(state, at_ms)
     done += _admission.tick(state, at_ms)
     done += _orphans.tick(state, at_ms)
-    done += _follow(state, at_ms)
+    done += _follow_configuration(state, at_ms)
     done += _takeover.tick(state, at_ms)
     done += _runs.tick(state, at_ms)
     done += _runs.dispatch(state, at_ms)
@@ -55,18 +55,21 @@
     return done
 
 
-def _follow(state: _state.State, at_ms: int) -> Effects:
+def _follow_configuration(state: _state.State, at_ms: int) -> Effects:
     view = state.follower.current
-    done = following.announce(state.served_revision, view)
-    state.served_revision = view.revision if view else 0
+    done = following.announce(state.announced_revision, view)
+    state.announced_revision = view.revision if view else 0
     return done + state.follower.tick(at_ms, [], list(state.links), '')
 
 
-def _received(state: _state.State, event: events.MessageReceived) -> Effects:
+def _message_received(
+    state: _state.State, event: events.MessageReceived
+) -> Effects:
     handler = _MESSAGES.get(type(event.message))
     if handler is None:
         return state.follower.handle(event)
-    # An offer tells the gateway's revision, which may be newer than ours.
+    # An offer carries the gateway's configuration revision, which may be
+    # newer than the local one.
     return handler(state, event) + state.follower.handle(event)
 
 
@@ -79,17 +82,17 @@
 
 def _link_closed(state: _state.State, event: events.LinkClosed) -> Effects:
     _shutdown.link_closed(state, event)
-    _orphans.link_closed(state, event)
+    _orphans.mark_unlinked(state, event)
     state.links.pop(event.peer, None)
     done = state.follower.handle(event)
     return done + _shutdown.tick(state, event.at_ms)
 
 
-def _appended(state: _state.State, event: events.Event) -> Effects:
-    return _takeover.settled(state, event)
+def _append_ended(state: _state.State, event: events.Event) -> Effects:
+    return _takeover.take_offset(state, event)
 
 
-def _followed(state: _state.State, event: events.Event) -> Effects:
+def _log_read_ended(state: _state.State, event: events.Event) -> Effects:
     return state.follower.handle(event)
 
 
@@ -99,25 +102,25 @@
     events.StopRequested: _shutdown.requested,
     events.LinkOpened: _link_opened,
     events.LinkClosed: _link_closed,
-    events.MessageReceived: _received,
+    events.MessageReceived: _message_received,
     events.EngineStatus: _engine.status,
     events.EndpointUnreachable: _engine.unreachable,
-    events.LoadSucceeded: _loads.succeeded,
-    events.LoadFailed: _loads.failed,
-    events.RunStarted: _runs.started,
-    events.RunEnded: _runs.ended,
-    events.RunFailed: _runs.failed,
-    events.CancelConfirmed: _runs.cancel_confirmed,
-    events.Appended: _appended,
-    events.AppendFailed: _appended,
-    events.LogRead: _followed,
-    events.LogReadFailed: _followed,
+    events.LoadSucceeded: _loads.finish_load,
+    events.LoadFailed: _loads.fail_load,
+    events.RunStarted: _runs.relay_head,
+    events.RunEnded: _runs.finish_run,
+    events.RunFailed: _runs.fail_run,
+    events.CancelConfirmed: _runs.finish_cancel,
+    events.Appended: _append_ended,
+    events.AppendFailed: _append_ended,
+    events.LogRead: _log_read_ended,
+    events.LogReadFailed: _log_read_ended,
 }
 
 _MESSAGES = {
-    messages.Offer: _admission.offered,
-    messages.Cancel: _admission.cancelled,
-    messages.Resume: _admission.resumed,
-    messages.LoadGranted: _loads.granted,
-    messages.LoadDeferred: _permits.deferred,
+    messages.Offer: _admission.admit,
+    messages.Cancel: _admission.cancel,
+    messages.Resume: _admission.resume,
+    messages.LoadGranted: _loads.use_grant,
+    messages.LoadDeferred: _permits.record_deferral,
 }
--- a/berylhollow/sidecar/_run_calls.py
+++ b/berylhollow/sidecar/_run_calls.py
@@ -1,4 +1,4 @@
-"""Runs at the endpoint: send the request, relay the body, cancel."""
+"""HTTP calls of runs: sends requests, relays bodies, cancels."""
 
 import asyncio
 import collections.abc
@@ -22,30 +22,30 @@
 LOG = logging.getLogger(__name__)
 
 REQUEST_ID = 'X-Request-Id'
-KEPT_BYTES = stream.MINIMUM_LIMIT_BYTES
-"""Unacknowledged bytes of one answer; then the endpoint is not read."""
+MAX_UNACKNOWLEDGED_BYTES = stream.MINIMUM_LIMIT_BYTES
+"""Unacknowledged bytes per answer at which reading the endpoint pauses."""
 
-CANCEL_PAUSE_MS = 20
-LONGEST_CANCEL_PAUSE_MS = 1000
+CANCEL_RETRY_MS = 20
+MAX_CANCEL_RETRY_MS = 1000
 
 
 class Outbox(typing.Protocol):
-    """The links to the gateways, as far as runs need them."""
+    """Interface to the gateway links that runs use."""
 
     def send(self, peer: str, message: messages.Message) -> None:
         """Send if there is a link; otherwise drop the message."""
 
     def congested(self, peer: str) -> bool:
-        """Tell whether the peer's link has enough to send for now."""
+        """Tell whether the peer's link has enough data queued for now."""
 
     def linked(self, peer: str) -> bool:
         """Tell whether there is a link to the peer."""
 
 
 class RunCalls:
-    """Carry out what the reducer orders about runs.
+    """Carries out the reducer's effects on runs.
 
-    ``runs`` holds each run until its frames are acknowledged or forgotten.
+    ``runs`` holds each run until its frames are acknowledged or dropped.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self.runs: dict[str, _run.Run] = {}
 
     def handlers(self) -> dict:
-        """Return what carries each class of effect out."""
+        """Return the handler of each class of effect."""
         return {
             effects.StartRun: self.start,
             effects.CancelRun: self.cancel,
@@ -75,35 +75,35 @@
         }
 
     def start(self, effect: effects.StartRun) -> None:
-        """Send a request to the endpoint and follow its answer."""
+        """Start the task that sends a request and relays its answer."""
         run = _run.Run(
             effect,
-            stream.StreamSender(effect.attempt_id, KEPT_BYTES),
+            stream.StreamSender(effect.attempt_id, MAX_UNACKNOWLEDGED_BYTES),
             self.time.now_ms(),
             effect.peer,
             detached=not self.outbox.linked(effect.peer),
         )
         self.runs[run.attempt_id] = run
-        run.task = self.tasks.start(self._follow(run))
+        run.task = self.tasks.start(self._run_to_end(run))
 
     def cancel(self, effect: effects.CancelRun) -> None:
         """Cancel a run; feeds CancelConfirmed and nothing else after it."""
         run = self.runs.get(effect.attempt_id)
         if run is None:
-            # The reducer counts on an answer to every cancel.
-            self._confirm(effect.attempt_id)
+            # The reducer expects a confirmation of every cancel.
+            self._confirm_cancel(effect.attempt_id)
         elif not run.cancelling:
             run.cancelling = True
             self.tasks.start(self._cancel(run))
 
     def accept(self, attempt_id: str) -> None:
-        """Let the body of an answer follow its head."""
+        """Allow the body of an answer to be relayed after its head."""
         run = self.runs.get(attempt_id)
         if run is not None:
             run.accepted.set()
 
     def acknowledge(self, message: messages.Acknowledge) -> None:
-        """Drop frames that have arrived and read on."""
+        """Drop acknowledged frames and resume reading."""
         run = self.runs.get(message.attempt_id)
         if run is None:
             return
@@ -117,7 +117,7 @@
         run.room.set()
 
     def resend(self, effect: effects.ResendFrames) -> None:
-        """Send frames again on the link of a peer, and what follows too."""
+        """Resend frames to a peer and send it all later frames too."""
         run = self.runs.get(effect.attempt_id)
         if run is None:
             return
@@ -126,7 +126,7 @@
         try:
             frames = run.sender.resume(effect.next_sequence)
         except stream.StreamError as error:
-            # The gateway sees the gap and breaks the answer off.
+            # The gateway detects the gap and aborts the answer.
             LOG.warning('%s', error)
             return
         for frame in frames:
@@ -140,20 +140,20 @@
             run.task.cancel()
 
     def relieve(self, peer: str) -> None:
-        """Let the answers to a peer go on: its link has room again."""
+        """Resume the answers to a peer whose link is no longer congested."""
         for run in self.runs.values():
             if run.peer == peer:
                 run.room.set()
 
     def detach(self, peer: str) -> None:
-        """Keep what comes for a peer whose link is gone until it resumes."""
+        """Buffer the answers to a peer whose link is lost until it resumes."""
         for run in self.runs.values():
             if run.peer == peer:
                 run.detached = True
                 run.room.set()
 
     def undelivered(self) -> bool:
-        """Tell whether a whole answer waits for its gateway to resume."""
+        """Tell whether a complete answer waits for its gateway to resume."""
         return any(
             run.sender.finished and run.detached for run in self.runs.values()
         )
@@ -162,18 +162,19 @@
         """Close the connections to the endpoint."""
         await self.client.close()
 
-    async def _follow(self, run: _run.Run) -> None:
-        """Take a run to its end, whatever its request makes of the library.
+    async def _run_to_end(self, run: _run.Run) -> None:
+        """Perform a run; any unexpected exception fails it.
 
-        Guards against a request that the library can't write, or an answer
-        that it can't read, in a way of which it does not tell: the run would
-        never end, its slot stay pinned, and a resend pin the next one.
+        Guards against a request that the HTTP library can't write, or an
+        answer that it can't read, raising an undocumented error: the run
+        would never end, its slot would stay pinned, and a retry would pin
+        another one.
         """
         try:
             await self._send_and_relay(run)
         except Exception:
             LOG.exception('run %s', run.attempt_id)
-            self._fail(run, errors.Kind.INTERNAL, _MAYBE)
+            self._report_failure(run, errors.Kind.INTERNAL, _MAY_HAVE_RUN)
         finally:
             run.over = True
 
@@ -181,23 +182,27 @@
         try:
             answer = await self.client.open(self._request(run))
         except outgoing.NotDone:
-            self._fail(run, errors.Kind.ENDPOINT_UNREACHABLE, _NOT_RUN)
+            self._report_failure(
+                run, errors.Kind.ENDPOINT_UNREACHABLE, _NOT_RUN
+            )
         except outgoing.Refused:
-            self._fail(run, errors.Kind.ENGINE_RESTARTED, _NOT_RUN)
+            self._report_failure(run, errors.Kind.ENGINE_RESTARTED, _NOT_RUN)
         except outgoing.CallError as error:
-            self._fail(run, errors.Kind.ENDPOINT_FAILED, _MAYBE, error)
+            self._report_failure(
+                run, errors.Kind.ENDPOINT_FAILED, _MAY_HAVE_RUN, error
+            )
         else:
             try:
-                await self._answer(run, answer)
+                await self._relay_answer(run, answer)
             finally:
                 answer.close()
 
     def _request(self, run: _run.Run) -> endpoint.EndpointRequest:
-        """Return the call of a run, over a connection of its own.
+        """Return the request of a run, sent over a connection of its own.
 
-        Guards against a kept connection that the endpoint closes as the
-        request goes out: nobody could tell that from a crash in the request,
-        which then would be suspected of it, nor whether it ran.
+        Guards against a kept-alive connection that the endpoint closes while
+        the request is sent: that looks like a crash caused by the request,
+        which would become a suspect, and whether it ran would be unknown.
         """
         offer = run.effect.offer
         headers = offer.headers
@@ -210,7 +215,7 @@
             offer.method, offer.path, headers, offer.body, idempotent=False
         )
 
-    async def _answer(
+    async def _relay_answer(
         self, run: _run.Run, answer: endpoint.EndpointAnswer
     ) -> None:
         run.head_ms = self.time.now_ms()
@@ -229,26 +234,31 @@
         await run.accepted.wait()
         end = _answer_end.EndCheck(answer, self.client.engine)
         try:
-            await self._relay(run, answer, end)
+            await self._relay_body(run, answer, end)
         except outgoing.CallError as error:
-            self._fail(run, errors.Kind.STREAM_BROKEN, _MAYBE, error)
+            self._report_failure(
+                run, errors.Kind.STREAM_BROKEN, _MAY_HAVE_RUN, error
+            )
             return
         if end.whole():
-            self._end(run)
+            self._report_end(run)
         else:
-            self._fail(run, errors.Kind.STREAM_BROKEN, _MAYBE, crashed=True)
+            self._report_failure(
+                run, errors.Kind.STREAM_BROKEN, _MAY_HAVE_RUN, crashed=True
+            )
 
-    async def _relay(
+    async def _relay_body(
         self,
         run: _run.Run,
         answer: endpoint.EndpointAnswer,
         end: _answer_end.EndCheck,
     ) -> None:
-        """Pass the body on as it comes, no faster than it is taken.
+        """Relay the body, no faster than the gateway takes it.
 
         Guards against a link that is closed for its backlog: many answers
-        whose next part is here send it in the same turn of the loop. Each
-        looks again before it sends, so that one part goes over the bound.
+        may each have a chunk ready in the same iteration of the event loop.
+        Congestion is checked before each send, so that at most one chunk
+        exceeds the limit.
         """
         async for chunk in answer.chunks():
             end.add(chunk)
@@ -260,16 +270,16 @@
             if not run.detached:
                 self.outbox.send(run.peer, frame)
 
-    def _end(self, run: _run.Run) -> None:
-        """Report a whole answer; its end is kept like any frame of it."""
+    def _report_end(self, run: _run.Run) -> None:
+        """Report a complete answer; its end frame is kept like any other."""
         if run.cancelling:
             return
         count = run.sender.finish().count
-        _run_end.log(run, 'whole', self.time.now_ms())
+        _run_end.log_end(run, 'whole', self.time.now_ms())
         now_ms = self.time.now_ms()
         self.feed(events.RunEnded(now_ms, run.attempt_id, count))
 
-    def _fail(
+    def _report_failure(
         self,
         run: _run.Run,
         kind: errors.Kind,
@@ -279,13 +289,13 @@
     ) -> None:
         if run.cancelling:
             return
-        crashed = crashed or _run_end.connection_broke(error)
+        crashed = crashed or _run_end.is_broken_connection(error)
         run.over = True
-        _run_end.log(run, kind.value, self.time.now_ms())
+        _run_end.log_end(run, kind.value, self.time.now_ms())
         now_ms = self.time.now_ms()
         self.feed(events.RunFailed(now_ms, run.attempt_id, kind, ran, crashed))
         if not run.cancelling:
-            # The frames of an answer that can't be whole serve nobody.
+            # The frames of an incomplete answer are of no use.
             self.runs.pop(run.attempt_id, None)
 
     def _feed(self, run: _run.Run, event: events.Event) -> None:
@@ -296,32 +306,35 @@
         await self._cancel_at_endpoint(run)
         run.task.cancel()
         self.runs.pop(run.attempt_id, None)
-        _run_end.log(run, 'cancelled', self.time.now_ms())
-        self._confirm(run.attempt_id)
+        _run_end.log_end(run, 'cancelled', self.time.now_ms())
+        self._confirm_cancel(run.attempt_id)
 
     async def _cancel_at_endpoint(self, run: _run.Run) -> None:
-        """Return when the endpoint surely does not run the request.
+        """Cancel a run; return once the endpoint definitely does not run it.
 
         Guards against a cancel that overtakes its request, which is still in
-        a socket: the engine says that it does not know it, and runs it a
-        moment later, on a slot that was given to another adapter by then. An
-        engine that does not know a request is believed only if it had
-        answered before, or if the connection is gone.
+        a socket buffer: the engine reports it as unknown and runs it a moment
+        later, on a slot that has been given to another adapter by then. The
+        report that a request is unknown counts only if the engine had
+        answered the request before, or if its connection is closed.
         """
-        pause_ms = CANCEL_PAUSE_MS
+        retry_ms = CANCEL_RETRY_MS
         while run.attempt_id in self.runs:
-            settled = run.head_seen or run.over
+            engine_had_request = run.head_seen or run.over
             try:
-                if await self.control.cancel(run.attempt_id) or settled:
+                if (
+                    await self.control.cancel(run.attempt_id)
+                    or engine_had_request
+                ):
                     return
             except outgoing.CallError as error:
                 LOG.info('cancel of %s: %s', run.attempt_id, error)
-            await asyncio.sleep(pause_ms / clock.MS_PER_SECOND)
-            pause_ms = min(2 * pause_ms, LONGEST_CANCEL_PAUSE_MS)
+            await asyncio.sleep(retry_ms / clock.MS_PER_SECOND)
+            retry_ms = min(2 * retry_ms, MAX_CANCEL_RETRY_MS)
 
-    def _confirm(self, attempt_id: str) -> None:
+    def _confirm_cancel(self, attempt_id: str) -> None:
         self.feed(events.CancelConfirmed(self.time.now_ms(), attempt_id))
 
 
 _NOT_RUN = errors.Ran.NOT_RUN
-_MAYBE = errors.Ran.UNKNOWN
+_MAY_HAVE_RUN = errors.Ran.UNKNOWN
--- a/berylhollow/sidecar/_run_end.py
+++ b/berylhollow/sidecar/_run_end.py
@@ -1,4 +1,4 @@
-"""How a run ended: as a crash or not, and its log line."""
+"""The end of a run: crash detection and the log line."""
 
 import logging
 
@@ -8,26 +8,26 @@
 
 LOG = logging.getLogger(__name__)
 
-BROKEN_CONNECTION = (
+BROKEN_CONNECTION_ERRORS = (
     aiohttp.ClientPayloadError,
     aiohttp.ServerDisconnectedError,
     OSError,
 )
 
 
-def connection_broke(error: Exception | None) -> bool:
-    """Tell whether a call failed in the way that a crash makes it fail.
+def is_broken_connection(error: Exception | None) -> bool:
+    """Tell whether a call failed because its connection broke, as in a crash.
 
-    Without an error it did not; a time limit says nothing of a crash.
+    No error and a timeout do not count as a broken connection.
     """
     cause = None if error is None else error.__cause__
     if isinstance(cause, TimeoutError):
         return False
-    return isinstance(cause, BROKEN_CONNECTION)
+    return isinstance(cause, BROKEN_CONNECTION_ERRORS)
 
 
-def log(run: _run.Run, outcome: str, now_ms: int) -> None:
-    """Write the one line of an attempt that has ended at the endpoint."""
+def log_end(run: _run.Run, outcome: str, now_ms: int) -> None:
+    """Log the end of an attempt at the endpoint."""
     offer = run.effect.offer
     head_ms = None if run.head_ms is None else run.head_ms - run.began_ms
     LOG.info(
--- a/berylhollow/sidecar/_runs.py
+++ b/berylhollow/sidecar/_runs.py
@@ -1,4 +1,4 @@
-"""Runs at the endpoint: begin them, follow them, end them."""
+"""Runs at the endpoint: starts them and handles their events."""
 
 import dataclasses
 
@@ -14,47 +14,50 @@
 from berylhollow.util import average
 
 Effects = list[effects.Effect]
-FIRST_ERROR_STATUS = 400
+MIN_ERROR_STATUS = 400
 
-LAST_WORD_MS = 500
-"""How long a run without a head is waited for when its engine is gone: a new
-one refuses at once what was sent to the one before."""
+REFUSAL_WAIT_MS = 500
+"""How long a run without a response head is kept once its engine is gone.
+
+The request may have reached the new engine, which refuses at once what was
+sent to the previous one.
+"""
 
 
 def dispatch(state: _state.State, at_ms: int) -> Effects:
-    """Give waiting attempts to the endpoint while there is room."""
+    """Start queued attempts while the endpoint has capacity."""
     done: Effects = []
     if not state.reachable or len(state.running) >= state.capacity:
         return done
-    for attempt in _turns.order(state):
+    for attempt in _turns.fair_order(state):
         if len(state.running) >= state.capacity:
             break
-        done += _begin(state, attempt, at_ms)
+        done += _start_run(state, attempt, at_ms)
         waits = attempt.phase is _state.Phase.QUEUED
-        if waits and _isolation.holds_back(state, attempt, at_ms):
+        if waits and _isolation.should_hold_back_others(state, attempt, at_ms):
             break
     return done
 
 
-def started(state: _state.State, event: events.RunStarted) -> Effects:
-    """Pass the head of an answer on, if it is of the adapter asked for.
+def relay_head(state: _state.State, event: events.RunStarted) -> Effects:
+    """Relay the head of an answer if it names the requested adapter.
 
-    Guards against an engine whose slot was changed by somebody else: it
-    would show as an answer of another adapter. The endpoint's own word for
-    what it runs is compared before a byte is passed on. Only an error that
-    names no adapter passes: it tells the caller what is wrong with its
-    request, and no adapter has written it.
+    Guards against an engine whose slot was changed by someone else: the
+    caller would get an answer of another adapter. The adapter that the
+    endpoint reports is checked before any byte is relayed. Only an error
+    response that names no adapter passes: it tells the caller what is wrong
+    with its request, and no adapter produced it.
     """
-    attempt = _running(state, event.attempt_id)
+    attempt = _running_attempt(state, event.attempt_id)
     if attempt is None:
         return []
-    if not _is_as_asked(attempt, event):
-        _distrust(state, attempt)
-        wrong = messages.Failed(
+    if not _has_expected_adapter(attempt, event):
+        _distrust_slot(state, attempt)
+        failure = messages.Failed(
             event.attempt_id, errors.Kind.WRONG_ADAPTER, errors.Ran.RAN
         )
         attempt.cancelled = True
-        done = _tell(state, attempt, wrong, event.at_ms)
+        done = _end_attempt(state, attempt, failure, event.at_ms)
         return [*done, effects.CancelRun(event.attempt_id)]
     attempt.started = messages.Started(
         event.attempt_id,
@@ -66,38 +69,41 @@
     return [effects.Send(attempt.peer, attempt.started)]
 
 
-def _is_as_asked(attempt: _state.Attempt, event: events.RunStarted) -> bool:
-    asked = attempt.offer.adapter
-    if asked is None or event.adapter == asked:
+def _has_expected_adapter(
+    attempt: _state.Attempt, event: events.RunStarted
+) -> bool:
+    expected = attempt.offer.adapter
+    if expected is None or event.adapter == expected:
         return True
-    return event.adapter is None and event.status >= FIRST_ERROR_STATUS
+    return event.adapter is None and event.status >= MIN_ERROR_STATUS
 
 
-def ended(state: _state.State, event: events.RunEnded) -> Effects:
-    """The endpoint's answer is whole."""
-    attempt = _running(state, event.attempt_id)
+def finish_run(state: _state.State, event: events.RunEnded) -> Effects:
+    """End an attempt whose answer is complete."""
+    attempt = _running_attempt(state, event.attempt_id)
     if attempt is None:
         return []
     _unpin(state, attempt, event.at_ms)
-    _learn(state, attempt, event.at_ms)
+    _update_estimates(state, attempt, event.at_ms)
     outcome = messages.End(event.attempt_id, event.count)
-    done = _tell(state, attempt, outcome, event.at_ms)
+    done = _end_attempt(state, attempt, outcome, event.at_ms)
     return done + dispatch(state, event.at_ms)
 
 
-def failed(state: _state.State, event: events.RunFailed) -> Effects:
-    """A run broke off; what it used stays pinned while it may still run."""
-    attempt = _running(state, event.attempt_id)
+def fail_run(state: _state.State, event: events.RunFailed) -> Effects:
+    """End a failed run; its slot stays pinned while it may still run."""
+    attempt = _running_attempt(state, event.attempt_id)
     if attempt is None:
         return []
     done: Effects = []
-    if event.crashed and attempt.lost_ms is None:
-        done = _isolation.crashed(state, event.at_ms)
+    if event.crashed and attempt.give_up_ms is None:
+        done = _isolation.report_crash(state, event.at_ms)
     outcome = messages.Failed(event.attempt_id, event.kind, event.ran)
-    done += _tell(state, attempt, outcome, event.at_ms)
+    done += _end_attempt(state, attempt, outcome, event.at_ms)
     if event.ran is errors.Ran.NOT_RUN or state.options.plain:
         if event.kind is errors.Kind.ENGINE_RESTARTED:
-            # Whatever comes before its status is read is refused as well.
+            # The restarted engine refuses every request that is sent before
+            # its status has been read.
             state.status_read_ms = event.at_ms
             done.append(effects.ReadStatus())
         _unpin(state, attempt, event.at_ms)
@@ -105,10 +111,10 @@
     return [*done, effects.CancelRun(event.attempt_id)]
 
 
-def cancel_confirmed(
+def finish_cancel(
     state: _state.State, event: events.CancelConfirmed
 ) -> Effects:
-    """The endpoint no longer runs a cancelled attempt: free its slot."""
+    """Unpin the slot of a cancelled attempt, which no longer runs."""
     attempt = state.attempts.get(event.attempt_id)
     if attempt is None:
         return []
@@ -118,7 +124,7 @@
         outcome = messages.Failed(
             event.attempt_id, errors.Kind.CANCELLED, errors.Ran.UNKNOWN
         )
-        done = _tell(state, attempt, outcome, event.at_ms)
+        done = _end_attempt(state, attempt, outcome, event.at_ms)
     return done + dispatch(state, event.at_ms)
 
 
@@ -129,42 +135,44 @@
     at_ms: int,
     retry_after_ms: int = 0,
 ) -> Effects:
-    """End an attempt that was never given to the endpoint."""
+    """Fail an attempt that was never sent to the endpoint."""
     outcome = messages.Failed(
         attempt.offer.attempt_id, kind, errors.Ran.NOT_RUN, retry_after_ms
     )
-    return _tell(state, attempt, outcome, at_ms)
+    return _end_attempt(state, attempt, outcome, at_ms)
 
 
 def all_lost(state: _state.State, at_ms: int) -> Effects:
-    """End the runs of an engine that is gone.
+    """Fail the runs of an engine that is gone.
 
-    One without a head may have been sent to the new engine, which refuses
-    it; the status overtakes that refusal.
+    Runs without a response head wait for ``REFUSAL_WAIT_MS``: they may have
+    been sent to the new engine, and its status can arrive before its refusal.
     """
-    done = _isolation.crashed(state, at_ms)
+    done = _isolation.report_crash(state, at_ms)
     for attempt_id in sorted(state.running):
         attempt = state.attempts[attempt_id]
         attempt.slot = None
-        unheard = attempt.started is None and not state.options.plain
-        if unheard and attempt.phase is _state.Phase.RUNNING:
-            attempt.lost_ms = at_ms + LAST_WORD_MS
+        has_no_head = attempt.started is None and not state.options.plain
+        if has_no_head and attempt.phase is _state.Phase.RUNNING:
+            attempt.give_up_ms = at_ms + REFUSAL_WAIT_MS
         else:
-            done += _lost(state, attempt, at_ms)
+            done += _end_lost_run(state, attempt, at_ms)
     return done
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Give up what an engine that is gone has not answered."""
+    """Fail the runs that a lost engine has not answered in time."""
     done: Effects = []
     for attempt_id in sorted(state.running):
         attempt = state.attempts[attempt_id]
-        if attempt.lost_ms is not None and at_ms >= attempt.lost_ms:
-            done += _lost(state, attempt, at_ms)
+        if attempt.give_up_ms is not None and at_ms >= attempt.give_up_ms:
+            done += _end_lost_run(state, attempt, at_ms)
     return done
 
 
-def _lost(state: _state.State, attempt: _state.Attempt, at_ms: int) -> Effects:
+def _end_lost_run(
+    state: _state.State, attempt: _state.Attempt, at_ms: int
+) -> Effects:
     state.running.discard(attempt.offer.attempt_id)
     if attempt.phase is _state.Phase.ENDED:
         return []
@@ -173,32 +181,32 @@
         errors.Kind.ENGINE_RESTARTED,
         errors.Ran.UNKNOWN,
     )
-    return _tell(state, attempt, outcome, at_ms)
+    return _end_attempt(state, attempt, outcome, at_ms)
 
 
-def _begin(
+def _start_run(
     state: _state.State, attempt: _state.Attempt, at_ms: int
 ) -> Effects:
-    """Pin the slot that an attempt needs and start it there.
+    """Pin the slot of an attempt's adapter and start the run.
 
-    The pin is the guard against evicting an adapter in use: loads are
-    ordered only into slots without pins, and a pin is given back only after
-    the last byte, a true "not run" or a confirmed cancel.
+    The pin keeps an adapter in use from being evicted: loads are ordered
+    only into slots without pins, and a pin is released only after the last
+    byte, a definite "not run" or a confirmed cancel.
     """
     adapter = attempt.offer.adapter
     if not _isolation.may_begin(state, attempt):
         return []
     if adapter is not None:
-        slot = state.slot_with(adapter)
+        slot = state.ready_slot(adapter)
         if slot is None:
             return []
         slot.pins += 1
         slot.runs += 1
         slot.used_ms = at_ms
         attempt.slot = slot.number
-    attempt.stalled_ms = _demands.stalled_ms(state, attempt, at_ms)
+    attempt.stalled_ms = _demands.load_stall_ms(state, attempt, at_ms)
     attempt.began_ms = at_ms
-    _turns.begun(state, attempt)
+    _turns.charge_run(state, attempt)
     state.queue.remove(attempt.offer.attempt_id)
     attempt.phase = _state.Phase.RUNNING
     state.running.add(attempt.offer.attempt_id)
@@ -212,14 +220,16 @@
     ]
 
 
-def _running(state: _state.State, attempt_id: str) -> _state.Attempt | None:
+def _running_attempt(
+    state: _state.State, attempt_id: str
+) -> _state.Attempt | None:
     attempt = state.attempts.get(attempt_id)
     if attempt is None or attempt.phase is not _state.Phase.RUNNING:
         return None
     return attempt
 
 
-def _tell(
+def _end_attempt(
     state: _state.State,
     attempt: _state.Attempt,
     outcome: messages.End | messages.Failed,
@@ -227,12 +237,12 @@
 ) -> Effects:
     attempt_id = attempt.offer.attempt_id
     if attempt.phase is _state.Phase.QUEUED:
-        attempt.stalled_ms = _demands.stalled_ms(state, attempt, at_ms)
+        attempt.stalled_ms = _demands.load_stall_ms(state, attempt, at_ms)
     if attempt_id in state.queue:
         state.queue.remove(attempt_id)
     attempt.phase = _state.Phase.ENDED
-    # The attempt is remembered for a minute; its request is not needed for
-    # that, and at a hundred requests a second it would fill the memory.
+    # Ended attempts are kept for a minute. The request is not needed for
+    # that, and at 100 requests/s the bodies would fill the memory.
     attempt.offer = dataclasses.replace(attempt.offer, body=b'', headers=())
     attempt.outcome = outcome
     attempt.ended_ms = at_ms
@@ -242,7 +252,7 @@
 
 def _unpin(state: _state.State, attempt: _state.Attempt, at_ms: int) -> None:
     if attempt.offer.attempt_id in state.running:
-        _isolation.ended(state, attempt, at_ms)
+        _isolation.record_isolated_end(state, attempt, at_ms)
     state.running.discard(attempt.offer.attempt_id)
     if attempt.slot is None:
         return
@@ -252,8 +262,10 @@
     attempt.slot = None
 
 
-def _learn(state: _state.State, attempt: _state.Attempt, at_ms: int) -> None:
-    """Take a whole run into the estimates of how long runs take."""
+def _update_estimates(
+    state: _state.State, attempt: _state.Attempt, at_ms: int
+) -> None:
+    """Update the estimates of run time from a complete run."""
     if not _pauses.measures(state, attempt.began_ms, at_ms):
         return
     took_ms = at_ms - attempt.began_ms
@@ -262,7 +274,7 @@
     state.token_ms = average.smoothed(state.token_ms, took_ms / tokens)
 
 
-def _distrust(state: _state.State, attempt: _state.Attempt) -> None:
+def _distrust_slot(state: _state.State, attempt: _state.Attempt) -> None:
     slot = state.slots[attempt.slot]
     slot.phase = _state.SlotPhase.UNCERTAIN
     slot.distrusted = True
--- a/berylhollow/sidecar/_state.py
+++ b/berylhollow/sidecar/_state.py
@@ -1,4 +1,4 @@
-"""What a sidecar knows: its engine's slots and the attempts it took."""
+"""State of a sidecar's reducer: the engine's slots and the attempts."""
 
 import collections
 import dataclasses
@@ -11,15 +11,15 @@
 from berylhollow import quarantine
 from berylhollow.sidecar import _options
 
-MOST_FLOWS = 1024
+MAX_FLOWS = 1024
 KEPT_FLOWS = 512
 
 
 class SlotPhase(enum.Enum):
-    """What is known of a slot.
+    """Load state of a slot.
 
-    Only READY says that we loaded the adapter ourselves in this epoch.
-    UNCERTAIN is a slot whose last order has no known outcome.
+    READY means that this sidecar loaded the adapter in the current epoch,
+    UNCERTAIN that the outcome of the slot's last load order is unknown.
     """
 
     EMPTY = 'empty'
@@ -32,10 +32,11 @@
 class Slot:
     """One adapter slot of the engine.
 
-    ``pins`` counts the runs that use it: a slot with pins is never ordered
-    to load anything. ``runs`` counts those begun since it was loaded.
-    ``may_hold`` are the adapters that the engine may have in it, whatever
-    we think of it, ``held_before`` those it may have had before our order.
+    ``pins`` counts the runs that use the slot; nothing is loaded into a
+    slot with pins. ``runs`` counts the runs started since the last load.
+    ``may_hold`` are all adapters that the engine may have in the slot,
+    whatever ``adapter`` says, ``may_hold_before`` those that it may have had
+    before the last order.
     """
 
     number: int
@@ -47,17 +48,17 @@
     runs: int = 0
     loaded_ms: int = 0
     used_ms: int = 0
-    uncertain_ms: int = 0
+    uncertain_since_ms: int = 0
     distrusted: bool = False
     may_hold: frozenset[messages.AdapterVersion] = frozenset()
-    held_before: frozenset[messages.AdapterVersion] = frozenset()
+    may_hold_before: frozenset[messages.AdapterVersion] = frozenset()
 
 
 class Phase(enum.Enum):
-    """How far an attempt is.
+    """Lifecycle phase of an attempt.
 
-    ENDED attempts are kept for a while, so that a resume or a doubled offer
-    of one is recognised.
+    ENDED attempts are kept for a while to recognise a resume or a duplicate
+    offer.
     """
 
     QUEUED = 'queued'
@@ -70,9 +71,10 @@
     """One attempt that a gateway offered.
 
     ``stalled_ms`` is how long it waited for its adapter to be loaded,
-    up to ``began_ms`` or its end. ``lost_ms`` is when it is given up with the
-    engine that it was sent to, None while that lives. ``unlinked_ms`` is when
-    the link of its gateway was lost, None once the gateway has resumed it.
+    up to ``began_ms`` or its end. ``give_up_ms`` is when the attempt fails
+    after the engine that it was sent to was lost, None while that engine
+    runs. ``unlinked_since_ms`` is when the link to its gateway was lost,
+    None once the gateway has resumed the attempt.
     """
 
     offer: messages.Offer
@@ -88,13 +90,13 @@
     stalled_ms: int = 0
     cancelled: bool = False
     isolate: bool = False
-    lost_ms: int | None = None
-    unlinked_ms: int | None = None
+    give_up_ms: int | None = None
+    unlinked_since_ms: int | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class Backoff:
-    """Pause before a load that failed is ordered again."""
+    """Back-off before a failed load of an adapter is retried."""
 
     failures: int = 0
     until_ms: int = 0
@@ -103,71 +105,73 @@
 
 @dataclasses.dataclass(slots=True)
 class Pacing:
-    """Permits of the load coordinator, and our own pace without it.
-
-    ``permit`` was granted by ``granter`` and not used yet; 0 is none.
-    ``used_permit`` belongs to the load under way. ``asked`` is our last
-    wish, unanswered since ``unanswered_ms``. Without a coordinator the next
-    load is due at ``next_ms`` and ``interval_ms`` lies between two; with
-    one, ``turn_ms`` is how long it takes until a wish is granted.
+    """Permits of the load coordinator, and local pacing without one.
+
+    ``permit`` was granted by ``permit_peer`` and is unused; 0 means none.
+    ``active_permit`` belongs to the load in flight. ``last_request`` is the
+    last permit request, unanswered since ``unanswered_since_ms``. Without a
+    coordinator the next load is due at ``next_load_ms``, ``interval_ms``
+    after the previous one; with one, ``grant_wait_ms`` is the expected time
+    until a request is granted.
     """
 
     permit: int = 0
-    granter: str = ''
-    lapses_ms: int = 0
-    used_permit: int = 0
-    used_granter: str = ''
-    asked: messages.LoadWanted | None = None
-    asked_ms: int = 0
-    unanswered_ms: int | None = None
-    next_ms: int = 0
+    permit_peer: str = ''
+    permit_expires_ms: int = 0
+    active_permit: int = 0
+    active_permit_peer: str = ''
+    last_request: messages.LoadWanted | None = None
+    last_request_ms: int = 0
+    unanswered_since_ms: int | None = None
+    next_load_ms: int = 0
     interval_ms: float = 0.0
-    turn_ms: float = 0.0
+    grant_wait_ms: float = 0.0
     seed: float = 0.5
 
 
 @dataclasses.dataclass(slots=True)
-class Shares:
-    """What was done for each of several flows that share an endpoint.
+class FlowShares:
+    """Work charged to each of the flows that share an endpoint.
 
-    ``floor`` is what the flow served last had had before; whoever had less,
-    or is not known, counts as having had this much.
+    ``virtual_time`` is what the flow served last had been charged before;
+    flows that are unknown or were charged less count as charged this much.
     """
 
-    done: dict[str, float] = dataclasses.field(default_factory=dict)
-    floor: float = 0.0
+    work: dict[str, float] = dataclasses.field(default_factory=dict)
+    virtual_time: float = 0.0
 
-    def had(self, flow: str) -> float:
-        """Return what was done for a flow."""
-        return max(self.floor, self.done.get(flow, 0.0))
+    def work_of(self, flow: str) -> float:
+        """Return the work that counts as charged to a flow."""
+        return max(self.virtual_time, self.work.get(flow, 0.0))
 
     def charge(self, flow: str, cost: float) -> None:
-        """Count a run for a flow.
+        """Charge the cost of a run to a flow.
 
-        A flow that had nothing for a while begins at the floor: it gets its
-        share from now on, not arrears.
+        A flow that was idle starts at the virtual time: it gets its share
+        from now on, without credit for the idle time.
         """
-        self.floor = self.had(flow)
-        self.done[flow] = self.floor + cost
-        if len(self.done) > MOST_FLOWS:
+        self.virtual_time = self.work_of(flow)
+        self.work[flow] = self.virtual_time + cost
+        if len(self.work) > MAX_FLOWS:
             self._forget()
 
     def _forget(self) -> None:
-        """Keep the flows that had most: the others gain least by it.
+        """Drop the flows charged least, which gain least by being dropped.
 
-        Guards against memory that grows with every name a caller makes up.
+        Bounds the memory: callers could make up any number of names.
         """
-        most = sorted(self.done, key=self.done.__getitem__, reverse=True)
-        self.done = {flow: self.done[flow] for flow in most[:KEPT_FLOWS]}
+        most = sorted(self.work, key=self.work.__getitem__, reverse=True)
+        self.work = {flow: self.work[flow] for flow in most[:KEPT_FLOWS]}
 
 
 @dataclasses.dataclass(slots=True)
 class State:
-    """Everything that a sidecar's reducer remembers.
+    """State of a sidecar's reducer.
 
-    ``ended`` holds the ended ones of ``attempts`` in the order they ended,
-    ``farewells`` the gateways that have to close their links before we exit,
-    ``farewells_had`` the incarnations of those that have done so.
+    ``ended`` holds the ended attempts in the order in which they ended,
+    ``farewells`` the gateways that have to close their links before the
+    sidecar exits, ``farewells_had`` the incarnations of those that have
+    done so.
     """
 
     options: _options.Options
@@ -176,11 +180,11 @@
     epoch: str = ''
     retired_epochs: set[str] = dataclasses.field(default_factory=set)
     fence: int = 0
-    fence_settled: bool = False
+    has_log_fence: bool = False
     started_ms: int = 0
-    takeover_retry_ms: int = 0
-    engine_at_rest: bool = False
-    deposed: bool = False
+    next_takeover_append_ms: int = 0
+    engine_was_idle: bool = False
+    superseded: bool = False
     batch_limit: int = 0
     reachable: bool = False
     slots: list[Slot] = dataclasses.field(default_factory=list)
@@ -195,20 +199,22 @@
         default_factory=dict
     )
     suspects: quarantine.Suspects = dataclasses.field(init=False)
-    crash_told: str = ''
-    survived: int = 0
-    isolated_ended_ms: int = -1_000_000
+    reported_crash_id: str = ''
+    survived_crashes: int = 0
+    last_isolated_end_ms: int = -1_000_000
     adapter_policy: policy.Policy = dataclasses.field(init=False)
     pacing: Pacing = dataclasses.field(default_factory=Pacing)
-    caller_shares: Shares = dataclasses.field(default_factory=Shares)
-    adapter_shares: dict[str, Shares] = dataclasses.field(default_factory=dict)
+    caller_shares: FlowShares = dataclasses.field(default_factory=FlowShares)
+    adapter_shares: dict[str, FlowShares] = dataclasses.field(
+        default_factory=dict
+    )
     run_ms: float = 0.0
     token_ms: float = 0.0
     load_ms: float = 0.0
     ticked_ms: int | None = None
     woke_ms: int = 0
-    orders: int = 0
-    served_revision: int = 0
+    order_count: int = 0
+    announced_revision: int = 0
     status_read_ms: int = -1_000_000
     reported_ms: int = -1_000_000
     reported: messages.Report | None = None
@@ -225,20 +231,20 @@
 
     @property
     def capacity(self) -> int:
-        """How many runs the endpoint may have at once."""
+        """Maximum number of concurrent runs at the endpoint."""
         if self.options.plain or not self.batch_limit:
             return self.options.concurrency
         return self.batch_limit
 
-    def slot_with(self, adapter: messages.AdapterVersion) -> Slot | None:
-        """Return the slot that is ready with an adapter version."""
+    def ready_slot(self, adapter: messages.AdapterVersion) -> Slot | None:
+        """Return the READY slot that holds an adapter version, or None."""
         for slot in self.slots:
             if slot.phase is SlotPhase.READY and slot.adapter == adapter:
                 return slot
         return None
 
     def slot_of_order(self, order_id: str) -> Slot | None:
-        """Return the slot whose last order this is."""
+        """Return the slot whose last load order has this id, or None."""
         for slot in self.slots:
             if slot.order_id == order_id:
                 return slot
--- a/test/test_sidecar.py
+++ b/test/test_sidecar.py
@@ -63,7 +63,7 @@
         """
         self.run_offer()
         self.feed(builders.engine_status('epoch-2', at_ms=10))
-        self.feed(events.Ticked(10 + _runs.LAST_WORD_MS))
+        self.feed(events.Ticked(10 + _runs.REFUSAL_WAIT_MS))
         self.assertIs(errors.Kind.ENGINE_RESTARTED, self.failure().kind)
         self.assertIs(errors.Ran.UNKNOWN, self.failure().ran)
         self.offer('r2.1')
--- a/test/test_sidecar_runs.py
+++ b/test/test_sidecar_runs.py
@@ -84,7 +84,9 @@
         sender = self.calls.runs['r1.1'].sender
         await self.until_true(lambda: sender.paused)
         held = sender.kept_bytes
-        self.assertLess(held, 2 * _run_calls.KEPT_BYTES + 256 * 1024)
+        self.assertLess(
+            held, 2 * _run_calls.MAX_UNACKNOWLEDGED_BYTES + 256 * 1024
+        )
         while events.RunEnded not in self.types():
             acknowledged = messages.Acknowledge('r1.1', sender.next_sequence)
             self.calls.acknowledge(acknowledged)
--- a/test/test_sidecar_turns.py
+++ b/test/test_sidecar_turns.py
@@ -88,8 +88,8 @@
 
     def test_idle_time_gives_no_arrears(self):
         """A firm that was idle all night takes every place in the morning."""
-        self.state.caller_shares.floor = 1_000_000.0
-        self.state.caller_shares.done = {'busy': 1_000_000.0}
+        self.state.caller_shares.virtual_time = 1_000_000.0
+        self.state.caller_shares.work = {'busy': 1_000_000.0}
         for number in range(4):
             self.offer(f'idle{number}.1', caller='idle')
             self.offer(f'busy{number}.1', caller='busy')
@@ -101,7 +101,7 @@
         for number in range(3000):
             self.offer(f'r{number}.1', caller=f'made-up-{number}')
             ends += self.end(ends.pop(0))
-        known = len(self.state.caller_shares.done)
+        known = len(self.state.caller_shares.work)
         known += len(self.state.adapter_shares)
         self.assertLess(known, 2100)
 
