--- a/berylhollow/sidecar/_admission.py
+++ b/berylhollow/sidecar/_admission.py
@@ -48,11 +48,11 @@
     if attempt is None or attempt.cancelled:
         return []
     attempt.cancelled = True
-    if attempt.phase is _state.Phase.QUEUED:
+    if attempt.phase is _state.AttemptPhase.QUEUED:
         return _runs.end_unrun(
             state, attempt, errors.Kind.CANCELLED, event.at_ms
         )
-    if attempt.phase is _state.Phase.RUNNING:
+    if attempt.phase is _state.AttemptPhase.RUNNING:
         return [effects.CancelRun(attempt.offer.attempt_id)]
     return [effects.ForgetRun(attempt.offer.attempt_id)]
 
@@ -151,7 +151,7 @@
         peer=event.peer,
         arrived_ms=event.at_ms,
         deadline_ms=event.at_ms,
-        phase=_state.Phase.ENDED,
+        phase=_state.AttemptPhase.ENDED,
         outcome=failed,
         ended_ms=event.at_ms,
     )
--- a/berylhollow/sidecar/_loads.py
+++ b/berylhollow/sidecar/_loads.py
@@ -119,10 +119,10 @@
     Loads older than ``load_hang_ms`` don't count, or one that hangs would
     hold up all others until its timeout.
     """
-    hanging_since_ms = at_ms - state.options.load_hang_ms
+    hang_cutoff_ms = at_ms - state.options.load_hang_ms
     return any(
         slot.phase is _state.SlotPhase.LOADING
-        and slot.ordered_ms > hanging_since_ms
+        and slot.ordered_ms > hang_cutoff_ms
         for slot in state.slots
     )
 
--- a/berylhollow/sidecar/_orders.py
+++ b/berylhollow/sidecar/_orders.py
@@ -43,9 +43,9 @@
 ) -> list[_state.Slot]:
     """Return the slots into which an adapter may be loaded.
 
-    Slots that may already hold it come first. With an engine that doesn't
-    check fencing numbers they are the only ones: a late order to one of them
-    could otherwise change the slot in which the adapter runs.
+    Slots that may already hold it come first. If there are any and the
+    engine doesn't check fencing numbers, only they are returned: a late order
+    to one of them could otherwise change the slot in which the adapter runs.
     """
     holding = [slot for slot in state.slots if adapter in slot.may_hold]
     if holding and not state.options.checks_fencing:
--- a/berylhollow/sidecar/_orphans.py
+++ b/berylhollow/sidecar/_orphans.py
@@ -45,8 +45,8 @@
     if attempt.cancelled:
         return []
     attempt.cancelled = True
-    if attempt.phase is _state.Phase.QUEUED:
+    if attempt.phase is _state.AttemptPhase.QUEUED:
         return _runs.end_unrun(state, attempt, errors.Kind.CANCELLED, at_ms)
-    if attempt.phase is _state.Phase.RUNNING:
+    if attempt.phase is _state.AttemptPhase.RUNNING:
         return [effects.CancelRun(attempt.offer.attempt_id)]
     return []
--- a/berylhollow/sidecar/_permits.py
+++ b/berylhollow/sidecar/_permits.py
@@ -30,9 +30,7 @@
     pacing = state.pacing
     if pacing.permit and at_ms < pacing.permit_expires_ms:
         return True
-    if coordinator(state) is not None and not _is_coordinator_silent(
-        state, at_ms
-    ):
+    if coordinator(state) is not None and not _is_unanswered(state, at_ms):
         return False
     return at_ms >= pacing.next_load_ms
 
@@ -152,8 +150,8 @@
     return [_return_permit(state, pacing.permit_peer, permit)]
 
 
-def _is_coordinator_silent(state: _state.State, at_ms: int) -> bool:
-    """Tell whether the coordinator has been silent for too long."""
+def _is_unanswered(state: _state.State, at_ms: int) -> bool:
+    """Tell whether the last request has been unanswered for too long."""
     since_ms = state.pacing.unanswered_since_ms
     if since_ms is None:
         return False
--- a/berylhollow/sidecar/_run_calls.py
+++ b/berylhollow/sidecar/_run_calls.py
@@ -173,7 +173,7 @@
         try:
             await self._send_and_relay(run)
         except Exception:
-            LOG.exception('run %s', run.attempt_id)
+            LOG.exception('unexpected error in run %s', run.attempt_id)
             self._report_failure(run, errors.Kind.INTERNAL, _MAY_HAVE_RUN)
         finally:
             run.over = True
@@ -320,15 +320,12 @@
         """
         retry_ms = CANCEL_RETRY_MS
         while run.attempt_id in self.runs:
-            engine_had_request = run.head_seen or run.over
+            is_conclusive = run.head_seen or run.over
             try:
-                if (
-                    await self.control.cancel(run.attempt_id)
-                    or engine_had_request
-                ):
+                if await self.control.cancel(run.attempt_id) or is_conclusive:
                     return
             except outgoing.CallError as error:
-                LOG.info('cancel of %s: %s', run.attempt_id, error)
+                LOG.info('cancel of run %s failed: %s', run.attempt_id, error)
             await asyncio.sleep(retry_ms / clock.MS_PER_SECOND)
             retry_ms = min(2 * retry_ms, MAX_CANCEL_RETRY_MS)
 
--- a/berylhollow/sidecar/_runs.py
+++ b/berylhollow/sidecar/_runs.py
@@ -33,7 +33,7 @@
         if len(state.running) >= state.capacity:
             break
         done += _start_run(state, attempt, at_ms)
-        waits = attempt.phase is _state.Phase.QUEUED
+        waits = attempt.phase is _state.AttemptPhase.QUEUED
         if waits and _isolation.should_hold_back_others(state, attempt, at_ms):
             break
     return done
@@ -120,7 +120,7 @@
         return []
     _unpin(state, attempt, event.at_ms)
     done: Effects = []
-    if attempt.phase is not _state.Phase.ENDED:
+    if attempt.phase is not _state.AttemptPhase.ENDED:
         outcome = messages.Failed(
             event.attempt_id, errors.Kind.CANCELLED, errors.Ran.UNKNOWN
         )
@@ -153,7 +153,7 @@
         attempt = state.attempts[attempt_id]
         attempt.slot = None
         has_no_head = attempt.started is None and not state.options.plain
-        if has_no_head and attempt.phase is _state.Phase.RUNNING:
+        if has_no_head and attempt.phase is _state.AttemptPhase.RUNNING:
             attempt.give_up_ms = at_ms + REFUSAL_WAIT_MS
         else:
             done += _end_lost_run(state, attempt, at_ms)
@@ -174,7 +174,7 @@
     state: _state.State, attempt: _state.Attempt, at_ms: int
 ) -> Effects:
     state.running.discard(attempt.offer.attempt_id)
-    if attempt.phase is _state.Phase.ENDED:
+    if attempt.phase is _state.AttemptPhase.ENDED:
         return []
     outcome = messages.Failed(
         attempt.offer.attempt_id,
@@ -208,7 +208,7 @@
     attempt.began_ms = at_ms
     _turns.charge_run(state, attempt)
     state.queue.remove(attempt.offer.attempt_id)
-    attempt.phase = _state.Phase.RUNNING
+    attempt.phase = _state.AttemptPhase.RUNNING
     state.running.add(attempt.offer.attempt_id)
     return [
         effects.StartRun(
@@ -224,7 +224,7 @@
     state: _state.State, attempt_id: str
 ) -> _state.Attempt | None:
     attempt = state.attempts.get(attempt_id)
-    if attempt is None or attempt.phase is not _state.Phase.RUNNING:
+    if attempt is None or attempt.phase is not _state.AttemptPhase.RUNNING:
         return None
     return attempt
 
@@ -236,11 +236,11 @@
     at_ms: int,
 ) -> Effects:
     attempt_id = attempt.offer.attempt_id
-    if attempt.phase is _state.Phase.QUEUED:
+    if attempt.phase is _state.AttemptPhase.QUEUED:
         attempt.stalled_ms = _demands.load_stall_ms(state, attempt, at_ms)
     if attempt_id in state.queue:
         state.queue.remove(attempt_id)
-    attempt.phase = _state.Phase.ENDED
+    attempt.phase = _state.AttemptPhase.ENDED
     # Ended attempts are kept for a minute. The request is not needed for
     # that, and at 100 requests/s the bodies would fill the memory.
     attempt.offer = dataclasses.replace(attempt.offer, body=b'', headers=())
--- a/berylhollow/sidecar/_state.py
+++ b/berylhollow/sidecar/_state.py
@@ -54,7 +54,7 @@
     may_hold_before: frozenset[messages.AdapterVersion] = frozenset()
 
 
-class Phase(enum.Enum):
+class AttemptPhase(enum.Enum):
     """Lifecycle phase of an attempt.
 
     ENDED attempts are kept for a while to recognise a resume or a duplicate
@@ -81,7 +81,7 @@
     peer: str
     arrived_ms: int
     deadline_ms: int
-    phase: Phase = Phase.QUEUED
+    phase: AttemptPhase = AttemptPhase.QUEUED
     slot: int | None = None
     started: messages.Started | None = None
     outcome: messages.End | messages.Failed | None = None
@@ -112,7 +112,8 @@
     last permit request, unanswered since ``unanswered_since_ms``. Without a
     coordinator the next load is due at ``next_load_ms``, ``interval_ms``
     after the previous one; with one, ``grant_wait_ms`` is the expected time
-    until a request is granted.
+    until a request is granted. ``seed`` is a random number in [0, 1) for the
+    jitter.
     """
 
     permit: int = 0
@@ -168,6 +169,9 @@
 class State:
     """State of a sidecar's reducer.
 
+    ``superseded`` is set once a newer sidecar has sent orders to the engine.
+    ``survived_crashes`` counts crash reports after which the engine answered
+    in the same epoch.
     ``ended`` holds the ended attempts in the order in which they ended,
     ``farewells`` the gateways that have to close their links before the
     sidecar exits, ``farewells_had`` the incarnations of those that have
--- a/berylhollow/sidecar/_turns.py
+++ b/berylhollow/sidecar/_turns.py
@@ -35,10 +35,10 @@
     turns: list[Turn] = []
     for caller, attempts in by_caller.items():
         weight = _caller_weight(state, caller)
-        work = state.caller_shares.work_of(caller)
+        work_after = state.caller_shares.work_of(caller)
         for attempt in _order_within_caller(state, caller, attempts):
-            work += run_cost(attempt) / weight
-            turns.append(Turn(attempt, work))
+            work_after += run_cost(attempt) / weight
+            turns.append(Turn(attempt, work_after))
     turns.sort(key=_turn_key)
     return [turn.attempt for turn in turns]
 
@@ -76,10 +76,10 @@
     shares = state.adapter_shares.get(caller) or _state.FlowShares()
     turns: list[Turn] = []
     for adapter, waiting in by_adapter.items():
-        work = shares.work_of(adapter)
+        work_after = shares.work_of(adapter)
         for attempt in sorted(waiting, key=_priority_key):
-            work += run_cost(attempt)
-            turns.append(Turn(attempt, work))
+            work_after += run_cost(attempt)
+            turns.append(Turn(attempt, work_after))
     turns.sort(key=_turn_key)
     return [turn.attempt for turn in turns]
 
--- a/test/sidecar_helper.py
+++ b/test/sidecar_helper.py
@@ -1,4 +1,4 @@
-"""Fakes around the sidecar's shell: an endpoint, an outbox, a control."""
+"""Test doubles for the sidecar's shell: endpoint, outbox and control."""
 
 import asyncio
 import contextlib
@@ -18,22 +18,23 @@
     b'HTTP/1.1 200 OK\r\nX-Engine-Adapter: a1@1\r\nX-Engine-Epoch: epoch-1\r\n'
 )
 CHUNKED = HEAD + b'Transfer-Encoding: chunked\r\n\r\n'
-EVENTS = HEAD + (
+EVENT_STREAM = HEAD + (
     b'Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n'
 )
 LAST_CHUNK = b'0\r\n\r\n'
 
 
 def chunk(data):
-    """Return one chunk of a body as it goes over the wire."""
+    """Return data in chunked transfer coding."""
     return b'%x\r\n%b\r\n' % (len(data), data)
 
 
 class ScriptedEndpoint:
-    """Answers every request with what the test sends; ``heads`` records.
+    """Server that answers each request by a script.
 
-    ``script(reader, writer)`` is awaited once a whole request is here. The
-    connection is reset after it, unless it was ended by the script.
+    ``script(reader, writer)`` is awaited once a request head has been read.
+    The connection is reset after it, unless the script closed it. ``heads``
+    records the request heads.
     """
 
     def __init__(self, script):
@@ -62,23 +63,23 @@
 
 
 class RecordingOutbox:
-    """Links that take everything, or say that they are congested."""
+    """Outbox that records all messages and may report congestion."""
 
     def __init__(self):
         self.sent = []
-        self.full = False
+        self.reports_congestion = False
 
     def send(self, peer, message):
         self.sent.append((peer, message))
 
     def congested(self, peer):
-        return self.full
+        return self.reports_congestion
 
     def linked(self, peer):
         return True
 
     def payload(self):
-        """Return what was sent of bodies, put together."""
+        """Return all body bytes sent so far."""
         return b''.join(
             message.payload
             for _, message in self.sent
@@ -87,15 +88,15 @@
 
 
 class ScriptedControl:
-    """Answers cancels with the given results, the last one for ever."""
+    """Control that answers cancels with given results, repeating the last."""
 
     def __init__(self, *results):
         self.results = list(results) or [True]
-        self.asked = 0
+        self.cancel_calls = 0
         self.load_error = None
 
     async def cancel(self, attempt_id):
-        self.asked += 1
+        self.cancel_calls += 1
         result = self.results[0]
         if len(self.results) > 1:
             self.results.pop(0)
@@ -108,9 +109,10 @@
 
 
 class RunTestCase(unittest.IsolatedAsyncioTestCase):
-    """Runs at a scripted endpoint; ``fed`` holds the events of the shell.
+    """Test case for runs at a scripted endpoint.
 
-    ``accepting`` stands for a reducer that accepts every head.
+    ``fed`` holds the events fed to the reducer. While ``accepting`` is true,
+    every response head is accepted, as the reducer would do.
     """
 
     engine = True
@@ -125,7 +127,7 @@
         self.control = ScriptedControl()
 
     async def begin(self, script):
-        """Serve an endpoint and make the calls that run on it."""
+        """Start a scripted endpoint and the ``RunCalls`` connected to it."""
         self.endpoint = ScriptedEndpoint(script)
         await self.stack.enter_async_context(self.endpoint.listening())
         await self.connect(self.endpoint.url)
@@ -150,7 +152,7 @@
             self.calls.accept(event.attempt_id)
 
     async def until(self, event_type):
-        """Return the first event of a type, once it is there."""
+        """Wait for an event of a type and return the first one."""
         while True:
             for event in self.fed:
                 if isinstance(event, event_type):
@@ -158,8 +160,8 @@
             self.changed.clear()
             await self.changed.wait()
 
-    async def until_true(self, condition):
-        """Return once ``condition()`` holds; for what sends no event."""
+    async def wait_until(self, condition):
+        """Poll until ``condition()`` holds, for changes without an event."""
         while not condition():
             await asyncio.sleep(0.001)
 
@@ -167,12 +169,12 @@
         offer = builders.offer(attempt_id, **changes)
         self.calls.start(effects.StartRun(attempt_id, offer, 'epoch-1', 'g1'))
 
-    def types(self):
+    def event_types(self):
         return [type(event) for event in self.fed]
 
 
-async def unreachable():
-    """Return the URL of a port on which nobody listens."""
+async def unreachable_url():
+    """Return the URL of a port on which no server listens."""
     server = await asyncio.start_server(lambda r, w: None, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
     server.close()
@@ -180,4 +182,4 @@
     return f'http://127.0.0.1:{port}'
 
 
-LOST = outgoing.MaybeDone('lost')
+LOST_ANSWER = outgoing.MaybeDone('lost')
--- a/test/test_sidecar.py
+++ b/test/test_sidecar.py
@@ -23,7 +23,7 @@
         self.receive(builders.offer(attempt_id, **changes), peer='g1')
 
     def run_offer(self, attempt_id='r1.1', **changes):
-        """Offer an attempt and load its adapter; it is given a run."""
+        """Offer an attempt, load its adapter and return the started run."""
         self.offer(attempt_id, **changes)
         (order,) = self.of_type(effects.LoadAdapter)
         self.feed(events.LoadSucceeded(1, order.order_id, 'epoch-1'))
@@ -32,7 +32,7 @@
 
 
 class SlotTest(SidecarTestCase):
-    def test_load_carries_the_fencing_number_of_the_log(self):
+    def test_load_order_has_a_fencing_number_from_the_log(self):
         self.offer()
         (order,) = self.of_type(effects.LoadAdapter)
         self.assertEqual(7, order.fence >> 20)
@@ -41,11 +41,11 @@
         run = self.run_offer()
         self.assertEqual('r1.1', run.attempt_id)
 
-    def test_pinned_slot_is_not_loaded_over(self):
-        """A running answer changes to another adapter in mid-sentence.
+    def test_pinned_slot_is_not_evicted(self):
+        """Guards against loading over an adapter that a run is using.
 
-        Both slots run a request when a third adapter is asked for; loading
-        it now would evict one in use. Cause: eviction without pins.
+        Both slots run a request when a third adapter is requested. Evicting
+        one of them would continue its answer with another adapter.
         """
         self.run_offer('r1.1')
         self.run_offer('r2.1', adapter=builders.adapter('a2'))
@@ -55,11 +55,11 @@
         (order,) = self.of_type(effects.LoadAdapter)
         self.assertEqual(0, order.slot)
 
-    def test_restarted_engine_holds_nothing(self):
-        """Requests run on whatever a restarted engine happens to hold.
+    def test_engine_restart_clears_the_slots(self):
+        """Guards against a slot table that outlives its engine's epoch.
 
-        The engine restarts cold; the slot table of the old epoch would send
-        requests to empty slots. Cause: a table without an epoch.
+        The engine restarts with empty slots; the table of the old epoch
+        would send requests to adapters that are no longer loaded.
         """
         self.run_offer()
         self.feed(builders.engine_status('epoch-2', at_ms=10))
@@ -70,44 +70,43 @@
         self.assertEqual([], self.of_type(effects.StartRun))
         self.assertEqual(1, len(self.of_type(effects.LoadAdapter)))
 
-    def test_lagging_report_of_a_left_epoch_is_ignored(self):
+    def test_late_status_of_an_earlier_epoch_is_ignored(self):
         self.feed(builders.engine_status('epoch-2', at_ms=10))
         self.feed(builders.engine_status('epoch-1', at_ms=20))
         self.assertEqual('epoch-2', self.state.epoch)
 
-    def test_answer_of_another_adapter_is_not_passed_on(self):
+    def test_answer_of_another_adapter_is_not_relayed(self):
         self.run_offer()
         other = builders.adapter('a2')
         self.feed(events.RunStarted(2, 'r1.1', 'epoch-1', 200, (), other))
         self.assertEqual([], self.sent(messages.Started))
         self.assertIs(errors.Kind.WRONG_ADAPTER, self.failure().kind)
 
-    def test_error_that_names_no_adapter_is_the_callers_answer(self):
-        """A caller with a bad body is told that the wrong adapter ran.
+    def test_error_that_names_no_adapter_is_relayed(self):
+        """Guards against taking an error without an adapter for a wrong one.
 
-        The engine refuses the body with 400 and names no adapter; the slot
-        was distrusted and loaded again for each such request. Cause: an
-        answer without a name taken for one of another adapter.
+        The engine refuses a bad body with 400 and names no adapter. The
+        caller was told that the wrong adapter ran, and the slot was
+        distrusted and reloaded for each such request.
         """
         self.run_offer()
         self.feed(events.RunStarted(2, 'r1.1', 'epoch-1', 400, (), None))
         (head,) = self.sent(messages.Started)
         self.assertEqual(400, head.status)
 
-    def test_answer_without_a_name_is_not_passed_on(self):
+    def test_answer_that_names_no_adapter_is_not_relayed(self):
         self.run_offer()
         self.feed(events.RunStarted(2, 'r1.1', 'epoch-1', 200, (), None))
         self.assertIs(errors.Kind.WRONG_ADAPTER, self.failure().kind)
 
 
 class LoadTimeTest(SidecarTestCase):
-    def test_load_confirmed_after_a_pause_is_no_measure_of_loads(self):
-        """An endpoint refuses everything after it was paused once.
+    def test_load_confirmed_after_a_pause_is_not_measured(self):
+        """Guards against counting a pause of the sidecar as load time.
 
-        The sidecar is paused while a load is under way; a minute later it
-        takes the load for that slow, and every request that waits for one
-        for too late. With none admitted no load corrects the estimate.
-        Cause: a pause of our own taken for the weight store's.
+        The sidecar is paused for a minute while a load is in flight. If the
+        load were estimated to take that long, every request that waits for
+        one would be refused as late, and no load would correct the estimate.
         """
         self.feed(events.Ticked(0))
         self.offer('r1.1')
@@ -119,17 +118,17 @@
 
 
 class AttemptTest(SidecarTestCase):
-    def test_doubled_offer_runs_once(self):
+    def test_duplicate_offer_runs_once(self):
         self.run_offer()
         self.offer()
         self.assertEqual([], self.of_type(effects.StartRun))
 
     def test_offer_after_its_resume_does_not_run(self):
-        """A request that was answered "not run" runs after all.
+        """Guards against running an attempt that was reported as not run.
 
         The link breaks with the offer still in the socket; the gateway
-        resumes on a new link, is told "not run", and then the old socket
-        delivers the offer. Cause: no memory of what was denied.
+        resumes on a new link and is told "not run", and then the old socket
+        delivers the offer.
         """
         self.receive(messages.Resume('r1.1', 0), peer='g1')
         self.assertIs(errors.Ran.NOT_RUN, self.failure().ran)
@@ -137,10 +136,10 @@
         self.assertEqual([], self.of_type(effects.LoadAdapter))
 
     def test_ended_attempt_does_not_keep_its_request(self):
-        """A sidecar under load grows out of its memory.
+        """Guards against memory that grows under load.
 
-        Each ended attempt is remembered for a minute, with its body. Cause:
-        a memory for resumes that keeps more than a resume needs.
+        Each ended attempt is kept for a minute so that it can be resumed;
+        its request body is not needed for that.
         """
         self.run_offer(body=b'x' * 1000)
         self.feed(events.RunEnded(4, 'r1.1', 1))
@@ -153,7 +152,7 @@
         self.feed(events.CancelConfirmed(3, 'r1.1'))
         self.assertEqual(0, self.state.slots[0].pins)
 
-    def test_leaving_sidecar_hands_back_what_never_began(self):
+    def test_stopping_sidecar_fails_queued_attempts_as_not_run(self):
         self.run_offer('r1.1')
         self.offer('r2.1', adapter=builders.adapter('a2'))
         self.feed(events.StopRequested(3))
@@ -165,12 +164,11 @@
         self.feed(events.LinkClosed(6, 'g1'))
         self.assertEqual([effects.Exit(0)], self.of_type(effects.Exit))
 
-    def test_stop_waits_for_offers_that_are_under_way(self):
-        """A porting order is lost to a planned stop.
+    def test_stop_waits_for_offers_in_flight(self):
+        """Guards against exiting before every gateway knows of the stop.
 
-        The sidecar is idle when it is told to stop and exits at once; an
-        offer sent just before arrives nowhere, and its gateway has to answer
-        that the outcome is unknown. Cause: an exit before each gateway knows.
+        If an idle sidecar exited at once, an offer sent just before would be
+        lost, and its gateway could only answer that the outcome is unknown.
         """
         self.feed(events.StopRequested(3), events.Ticked(4))
         self.assertEqual([], self.of_type(effects.Exit))
@@ -180,10 +178,10 @@
         self.assertEqual([effects.Exit(0)], self.of_type(effects.Exit))
 
     def test_stop_waits_only_once_for_each_gateway(self):
-        """A stop never ends under many gateways.
+        """Guards against a stop that never ends with many gateways.
 
-        Each gateway that said farewell looks again whether the endpoint was
-        replaced, and with many of them some link is always open.
+        A gateway that has closed its link reconnects to check whether the
+        endpoint was replaced, and with many of them some link is always open.
         """
         gateway = events.Role.GATEWAY
         self.feed(events.LinkOpened(1, 'g2', gateway, 'i2'))
@@ -192,16 +190,17 @@
         self.feed(events.LinkClosed(6, 'g1'))
         self.assertEqual([effects.Exit(0)], self.of_type(effects.Exit))
 
-    def test_stop_does_not_wait_for_ever_for_a_gateway(self):
+    def test_stop_waits_for_a_gateway_only_until_a_timeout(self):
         self.feed(events.StopRequested(3), events.Ticked(20_000))
         self.assertEqual([effects.Exit(0)], self.of_type(effects.Exit))
 
-    def test_run_that_is_not_resumed_gives_its_slot_back(self):
-        """An adapter can't be loaded any more, and a stop takes minutes.
+    def test_run_that_is_not_resumed_is_cancelled(self):
+        """Guards against a slot that stays pinned by an abandoned run.
 
-        A gateway dies, or gives a request up while its link is down, and is
-        linked again. Nobody takes the answer any more, and the endpoint is
-        read no further. Cause: runs that end only by themselves.
+        A gateway dies, or gives up a request while its link is down, and
+        reconnects. The answer is never read, so the endpoint is not read
+        either and the run does not end by itself: no adapter can be loaded
+        into its slot, and a stop takes minutes.
         """
         self.run_offer('r1.1')
         self.feed(events.LinkClosed(10, 'g1'))
@@ -215,15 +214,15 @@
         cancel = self.of_type(effects.CancelRun)
         self.assertEqual([effects.CancelRun('r1.1')], cancel)
 
-    def test_run_that_is_resumed_goes_on(self):
+    def test_run_that_is_resumed_is_not_cancelled(self):
         self.run_offer('r1.1')
         self.feed(events.LinkClosed(10, 'g1'))
         self.receive(messages.Resume('r1.1', 0), at_ms=20, peer='g1')
         self.feed(events.Ticked(10 + self.state.options.orphan_ms))
         self.assertEqual([], self.of_type(effects.CancelRun))
 
-    def test_refusal_by_a_restarted_engine_has_its_status_read_at_once(self):
-        """Whatever came until the next regular read was refused as well."""
+    def test_refusal_by_a_restarted_engine_triggers_a_status_read(self):
+        """Requests before the next regular read would be refused as well."""
         self.run_offer()
         self.feed(
             events.RunFailed(
@@ -232,11 +231,11 @@
         )
         self.assertEqual(1, len(self.of_type(effects.ReadStatus)))
 
-    def test_status_does_not_overtake_the_refusal_of_a_new_engine(self):
+    def test_refusal_by_a_new_engine_is_awaited_after_its_status(self):
         """Guards against "may have run" for what the new engine refused.
 
-        It was sent to the engine before, which had restarted; the status of
-        the new one was read while the refusal was on its way.
+        The request was meant for the previous engine, which had restarted.
+        The status of the new one arrives before its refusal.
         """
         self.run_offer()
         self.feed(builders.engine_status('epoch-2', at_ms=10))
@@ -248,8 +247,8 @@
         )
         self.assertIs(errors.Ran.NOT_RUN, self.failure().ran)
 
-    def test_run_lost_with_its_engine_is_one_crash(self):
-        """Guards against a crash that counts in both epochs."""
+    def test_run_lost_with_its_engine_is_reported_as_one_crash(self):
+        """Guards against a crash that is reported in both epochs."""
         self.run_offer()
         self.feed(builders.engine_status('epoch-2', at_ms=10))
         told = len(self.sent(messages.Crashed))
@@ -263,13 +262,12 @@
         self.feed(lost)
         self.assertEqual(0 if told else 1, len(self.sent(messages.Crashed)))
 
-    def test_an_ended_attempt_is_remembered_while_its_cancel_is_open(self):
-        """A sidecar dies when its engine comes back after a long hang.
+    def test_ended_attempt_is_kept_until_its_cancel_is_confirmed(self):
+        """Guards against dropping an attempt that still holds its pin.
 
-        The connection to a hung engine breaks, the answer is given up, and
-        its cancel stays unconfirmed beyond the time for which ended attempts
-        are kept; then the engine restarts. Cause: the attempt was forgotten
-        while it still held its pin.
+        The connection to a hung engine breaks, the attempt fails, and its
+        cancel stays unconfirmed for longer than ended attempts are kept.
+        When the engine restarted, the sidecar crashed on the missing attempt.
         """
         self.run_offer()
         failed = events.RunFailed(
