--- a/berylhollow/endpoint/__init__.py
+++ b/berylhollow/endpoint/__init__.py
@@ -1,4 +1,4 @@
-"""Endpoints, model engines and plain services, as the sidecar sees them."""
+"""HTTP clients for endpoints: model engines and plain services."""
 
 from berylhollow.endpoint import _endpoint_client
 from berylhollow.endpoint import _engine_client
--- a/berylhollow/endpoint/_endpoint_client.py
+++ b/berylhollow/endpoint/_endpoint_client.py
@@ -1,4 +1,4 @@
-"""Client that passes requests on to an endpoint, model engine or plain."""
+"""HTTP client that forwards requests to a model engine or plain service."""
 
 import typing
 
@@ -12,7 +12,7 @@
 EPOCH_HEADER = 'X-Engine-Epoch'
 ADAPTER_NOT_LOADED = 'adapter_not_loaded'
 NOT_FOUND = 404
-WITHOUT_BODY = frozenset({204, 304})
+BODYLESS_STATUSES = frozenset({204, 304})
 HEAD = 'HEAD'
 CHUNKED = 'chunked'
 HOP_BY_HOP = frozenset(
@@ -29,15 +29,15 @@
     }
 )
 SET_BY_LIBRARY = frozenset({'content-length', 'host'})
-AUTOMATIC = frozenset({'Accept', 'Accept-Encoding', 'Content-Type'})
+SKIPPED_AUTO_HEADERS = frozenset({'Accept', 'Accept-Encoding', 'Content-Type'})
 
 
 class EndpointAnswer:
-    """An answer whose head is here and whose body may still be coming.
+    """An answer whose head has arrived and whose body may still follow.
 
-    ``adapter`` and ``epoch`` are what a model engine says that it ran, None
-    and empty for a plain service. ``body`` is what was read of the body
-    already, all of it if not None.
+    ``adapter`` and ``epoch`` are those in which a model engine says that it
+    ran the request; they are None and empty for a plain service. ``body`` is
+    the whole body if it was read already, otherwise None.
     """
 
     def __init__(
@@ -55,10 +55,10 @@
         self.epoch = response.headers.get(EPOCH_HEADER, '')
 
     async def chunks(self) -> typing.AsyncIterator[bytes]:
-        """Give the body as it comes; its normal end means it is whole.
+        """Yield the body as it arrives; a normal end means it is complete.
 
-        Raises ``outgoing.MaybeDone`` if the connection breaks before, and
-        at the end of an answer that has no length and no chunks.
+        Raises ``outgoing.MaybeDone`` if the connection breaks before the end
+        of the body, and after an answer that has neither a length nor chunks.
         """
         if self.body is not None:
             yield self.body
@@ -71,65 +71,75 @@
             raise outgoing.MaybeDone(
                 str(error) or type(error).__name__
             ) from error
-        if not self.has_end():
-            raise outgoing.MaybeDone('the answer has no marked end')
+        if not self.has_framed_body():
+            raise outgoing.MaybeDone(
+                'the answer has neither a length nor chunks'
+            )
 
-    def has_end(self) -> bool:
-        """Return whether the end of the body can be told from a break.
+    def has_framed_body(self) -> bool:
+        """Return whether the HTTP framing shows where the body ends.
 
-        Guards against half an answer that passes for a whole one: without
-        a length or chunks, an endpoint that dies looks like one that is
-        done, and the caller would get the part as the whole.
+        Guards against a truncated answer that passes for a complete one.
+        Without a length or chunks, the end of the connection is the same
+        whether the endpoint has finished or died.
         """
         return (
             self.response.method == HEAD
-            or self.status in WITHOUT_BODY
+            or self.status in BODYLESS_STATUSES
             or 'Content-Length' in self.response.headers
             or self.response.headers.get('Transfer-Encoding') == CHUNKED
         )
 
     def close(self) -> None:
-        """Drop the connection, unless the whole body was read."""
+        """Close the connection, unless the whole body was read."""
         self.response.close()
 
 
 class EndpointClient:
-    """Pass requests on to the endpoint at ``url``.
+    """Forwards requests to the endpoint at ``url``.
 
-    ``engine`` says that it is a model engine, whose word that an adapter is
-    not loaded is a refusal; a plain service's 404 is an answer.
+    ``engine`` marks a model engine: its 404 with the code for an adapter that
+    is not loaded is a refusal. A plain service's 404 is an answer.
+    ``pooled_session`` keeps connections for reuse, ``unpooled_session`` opens
+    one for each request.
     """
 
     def __init__(
         self,
         url: str,
         engine: bool,
-        reusing: aiohttp.ClientSession | None = None,
-        fresh: aiohttp.ClientSession | None = None,
+        pooled_session: aiohttp.ClientSession | None = None,
+        unpooled_session: aiohttp.ClientSession | None = None,
     ):
         self.url = url.rstrip('/')
         self.engine = engine
-        self.reusing = reusing or outgoing.open_session()
-        self.fresh = fresh or outgoing.open_session(reuse=False)
+        self.pooled_session = pooled_session or outgoing.open_session()
+        self.unpooled_session = unpooled_session or outgoing.open_session(
+            reuse=False
+        )
 
     async def open(
         self, request: _types.EndpointRequest, timeout_ms: int | None = None
     ) -> EndpointAnswer:
-        """Send a request once and return its answer's head.
+        """Send a request once and return the answer as its head arrives.
 
-        Raises ``outgoing.NotDone``, ``MaybeDone``, and ``Refused`` if a
-        model engine has not the adapter loaded; any other status is the
-        answer. ``timeout_ms`` covers the body too.
+        Raises ``outgoing.NotDone`` and ``MaybeDone``, and ``Refused`` if a
+        model engine has not loaded the adapter. Any other error status is
+        returned as the answer. ``timeout_ms`` covers the body too.
         """
-        session = self.reusing if request.idempotent else self.fresh
+        session = (
+            self.pooled_session
+            if request.idempotent
+            else self.unpooled_session
+        )
         response = await outgoing.open_call(
             session,
             request.method,
             self.url + request.path,
             timeout_ms,
-            headers=_end_to_end(request.headers),
+            headers=_end_to_end_headers(request.headers),
             data=request.body or None,
-            skip_auto_headers=AUTOMATIC,
+            skip_auto_headers=SKIPPED_AUTO_HEADERS,
         )
         if not self.engine or response.status != NOT_FOUND:
             return EndpointAnswer(response)
@@ -142,12 +152,12 @@
 
     async def close(self) -> None:
         """Close the connections."""
-        await self.reusing.close()
-        await self.fresh.close()
+        await self.pooled_session.close()
+        await self.unpooled_session.close()
 
 
-def _end_to_end(headers: tuple[messages.Header, ...]) -> list:
-    """Return the headers that concern the endpoint, as aiohttp takes them."""
+def _end_to_end_headers(headers: tuple[messages.Header, ...]) -> list:
+    """Return the headers to forward to the endpoint, as aiohttp takes them."""
     return [
         (header.name, header.value)
         for header in headers
@@ -156,7 +166,7 @@
 
 
 def parse_adapter(name: str | None) -> messages.AdapterVersion | None:
-    """Return the adapter of ``adapter@version``; None if it is not one."""
+    """Parse ``adapter@version``; return None if it has no version."""
     adapter, separator, version = (name or '').rpartition('@')
     if not separator:
         return None
--- a/berylhollow/endpoint/_engine_client.py
+++ b/berylhollow/endpoint/_engine_client.py
@@ -10,11 +10,11 @@
 
 
 class EngineClient:
-    """Read the status of the engine at ``url`` and give it orders.
+    """Reads the status of the engine at ``url`` and sends it orders.
 
-    All methods raise the kinds of ``outgoing.CallError``. An order that is
-    ``MaybeDone`` has to be taken as done until the status or a later order
-    tells.
+    All methods raise the subclasses of ``outgoing.CallError``. An order that
+    raised ``MaybeDone`` must be assumed to have taken effect until the status
+    or the answer to a later order shows whether it has.
     """
 
     def __init__(self, url: str, session: aiohttp.ClientSession | None = None):
@@ -22,14 +22,16 @@
         self.session = session or outgoing.open_session()
 
     async def status(self) -> _types.EngineStatus:
-        """Return the engine's report of itself, which lags."""
+        """Return the engine's status, which may lag behind."""
         reply = await outgoing.call(
             self.session, 'GET', f'{self.url}/engine/status'
         )
         try:
             return _parse_status(reply.value())
         except (KeyError, TypeError, ValueError) as error:
-            raise outgoing.MaybeDone('the answer is no status') from error
+            raise outgoing.MaybeDone(
+                'the answer is not an engine status'
+            ) from error
 
     async def load(
         self, order: _types.SlotOrder, timeout_ms: int = LOAD_TIMEOUT_MS
@@ -40,29 +42,29 @@
         ``superseded``, ``weights_unavailable`` or ``rate_limited``.
         """
         if order.adapter is None:
-            raise ValueError('a load names an adapter')
-        value = _order_value(order)
-        value['adapter'] = order.adapter.adapter
-        value['version'] = order.adapter.version
+            raise ValueError('a load order needs an adapter')
+        body = _order_body(order)
+        body['adapter'] = order.adapter.adapter
+        body['version'] = order.adapter.version
         await outgoing.call(
             self.session,
             'POST',
             f'{self.url}/engine/load',
             timeout_ms,
-            json=value,
+            json=body,
         )
 
     async def unload(self, order: _types.SlotOrder) -> None:
-        """Empty a slot; refused as a load is."""
+        """Empty a slot; refused for the same reasons as a load."""
         await outgoing.call(
             self.session,
             'POST',
             f'{self.url}/engine/unload',
-            json=_order_value(order),
+            json=_order_body(order),
         )
 
     async def cancel(self, request: str) -> bool:
-        """Stop a request; return whether the engine still had it."""
+        """Cancel a request; return whether the engine still had it."""
         reply = await outgoing.call(
             self.session,
             'POST',
@@ -72,7 +74,10 @@
         return reply.value().get('cancelled') is True
 
     async def events(self, after: int) -> tuple[_types.CacheEvent, ...]:
-        """Return cache events past a sequence number, late and with gaps."""
+        """Return the cache events after a sequence number.
+
+        Events may arrive late, and some may be missing.
+        """
         reply = await outgoing.call(
             self.session,
             'GET',
@@ -80,16 +85,20 @@
             params={'after': str(after)},
         )
         try:
-            return tuple(_parse_event(x) for x in reply.value()['events'])
+            return tuple(
+                _parse_event(item) for item in reply.value()['events']
+            )
         except (KeyError, TypeError, ValueError) as error:
-            raise outgoing.MaybeDone('the answer is no event list') from error
+            raise outgoing.MaybeDone(
+                'the answer is not a list of events'
+            ) from error
 
     async def close(self) -> None:
         """Close the connections."""
         await self.session.close()
 
 
-def _order_value(order: _types.SlotOrder) -> dict:
+def _order_body(order: _types.SlotOrder) -> dict:
     return {
         'order': order.order,
         'slot': order.slot,
--- a/berylhollow/endpoint/_types.py
+++ b/berylhollow/endpoint/_types.py
@@ -1,4 +1,4 @@
-"""What a model engine gives back and the orders that it takes."""
+"""Requests and orders to endpoints, and the status that they report."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class SlotState(enum.StrEnum):
-    """What an adapter slot is doing."""
+    """State of an adapter slot."""
 
     EMPTY = 'empty'
     LOADING = 'loading'
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Slot:
-    """What one adapter slot holds."""
+    """An adapter slot and the adapter that it holds."""
 
     slot: int
     adapter: messages.AdapterVersion | None = None
@@ -25,10 +25,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """An engine's report of itself, which lags.
+    """The status that an engine reports; it may lag behind.
 
-    ``epoch`` changes with each restart; ``highest_fence`` is the highest
-    fencing number seen in this epoch, or 0.
+    ``epoch`` changes with each restart. ``highest_fence`` is the highest
+    fencing token that the engine has seen in this epoch, or 0.
     """
 
     epoch: str
@@ -42,9 +42,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotOrder:
-    """An order over one slot; ``adapter`` is None to unload it.
+    """An order to load an adapter into a slot, or to empty the slot.
 
-    The engine takes it only in the epoch that it names.
+    ``adapter`` is None to empty it. The engine refuses the order unless
+    ``epoch`` is its current one.
     """
 
     order: str
@@ -63,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A change of the prefix cache; a missing ``sequence`` shows a gap."""
+    """A prefix cache change; a gap in ``sequence`` shows missing events."""
 
     sequence: int
     at_ms: int
@@ -75,11 +76,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointRequest:
-    """A call to an endpoint.
+    """A request to an endpoint.
 
-    One that is not idempotent goes over a connection of its own: on a
-    reused one that the endpoint has just closed, nobody could tell whether
-    it ran.
+    A request that is not idempotent is sent on a new connection. If it were
+    sent on a reused one that the endpoint has just closed, it would be
+    unknown whether the request ran.
     """
 
     method: str
--- a/berylhollow/sidecar/_shell.py
+++ b/berylhollow/sidecar/_shell.py
@@ -192,7 +192,7 @@
     return endpoint.EndpointClient(
         url,
         is_engine,
-        fresh=outgoing.open_session(
+        unpooled_session=outgoing.open_session(
             reuse=False, buffer_bytes=ANSWER_BUFFER_BYTES
         ),
     )
