--- a/berylhollow/sidecar/__init__.py
+++ b/berylhollow/sidecar/__init__.py
@@ -1,4 +1,4 @@
-"""The sidecar: all requests and all orders to its endpoint pass it."""
+"""The sidecar: forwards all requests and load orders to its endpoint."""
 
 from berylhollow.sidecar._options import Options
 from berylhollow.sidecar._reducer import reduce
--- a/berylhollow/sidecar/_answer_end.py
+++ b/berylhollow/sidecar/_answer_end.py
@@ -1,4 +1,4 @@
-"""Tell a whole event stream of an engine from one that was cut short."""
+"""Detects an engine's event stream that was cut short."""
 
 from berylhollow import endpoint
 
@@ -6,30 +6,30 @@
 EVENT_STREAM = 'text/event-stream'
 DONE_EVENT = b'data: [DONE]'
 TAIL_BYTES = 64
-"""As much of the end of an event stream as the done event can take."""
+"""Bytes kept of the end of a stream, enough to hold the done event."""
 
 
 class EndCheck:
-    """Says whether a body that ended without an error is whole.
+    """Checks whether a body that ended without an error is complete.
 
     Guards against an engine that dies behind a process which then ends the
-    chunks properly: HTTP shows nothing, and the caller would see a shortened
-    answer that looks whole. So an engine's event stream has to close with
-    its done event.
+    chunked body properly. HTTP shows no error, and the caller would take the
+    truncated answer for a complete one. An engine's event stream therefore
+    has to end with its done event.
     """
 
-    def __init__(self, answer: endpoint.EndpointAnswer, engine: bool):
-        self.needed = engine and _is_event_stream(answer)
+    def __init__(self, answer: endpoint.EndpointAnswer, is_engine: bool):
+        self.expects_done_event = is_engine and _is_event_stream(answer)
         self.tail = b''
 
     def add(self, chunk: bytes) -> None:
-        """Take note of the next part of the body."""
-        if self.needed:
+        """Record the next chunk of the body."""
+        if self.expects_done_event:
             self.tail = (self.tail + chunk[-TAIL_BYTES:])[-TAIL_BYTES:]
 
     def whole(self) -> bool:
-        """Tell whether the body is whole, now that it ended."""
-        if not self.needed:
+        """Return whether the body is complete; call this after its end."""
+        if not self.expects_done_event:
             return True
         return self.tail.rstrip().endswith(DONE_EVENT)
 
--- a/berylhollow/sidecar/_endpoint_calls.py
+++ b/berylhollow/sidecar/_endpoint_calls.py
@@ -1,4 +1,4 @@
-"""What the shell asks of an endpoint beside running requests on it."""
+"""Calls of the shell to its endpoint, except those that run requests."""
 
 import asyncio
 import collections.abc
@@ -16,11 +16,11 @@
 LOG = logging.getLogger(__name__)
 
 PLAIN_EPOCH = 'plain'
-"""A plain service holds nothing that a restart would lose."""
+"""Epoch of every plain service, which loses no state in a restart."""
 
 CONNECT_TIMEOUT_S = 1.0
 
-FAILURES = {
+LOAD_FAILURES = {
     'stale_fence': events.LoadFailure.STALE_FENCE,
     'wrong_epoch': events.LoadFailure.WRONG_EPOCH,
     'weights_unavailable': events.LoadFailure.WEIGHTS,
@@ -29,13 +29,13 @@
 
 
 class Control(typing.Protocol):
-    """How an endpoint is watched and its runs are cancelled."""
+    """Reads an endpoint's status, cancels its runs and loads adapters."""
 
     async def status(self, at_ms: int) -> events.EngineStatus:
         """Return the status; raises ``outgoing.CallError``."""
 
     async def cancel(self, attempt_id: str) -> bool:
-        """Return whether the endpoint still had the run.
+        """Cancel a run; return whether the endpoint still had it.
 
         Raises ``outgoing.CallError``.
         """
@@ -48,7 +48,7 @@
 
 
 class EngineControl:
-    """Control of a model engine, by its own interface."""
+    """Controls a model engine through its control interface."""
 
     def __init__(self, url: str):
         self.client = endpoint.EngineClient(url)
@@ -59,7 +59,7 @@
             at_ms,
             status.epoch,
             status.base_model,
-            tuple(_slot(slot) for slot in status.slots),
+            tuple(_slot_state(slot) for slot in status.slots),
             status.batch_limit,
             status.running,
             status.waiting,
@@ -86,7 +86,7 @@
 
 
 class PlainControl:
-    """Control of a plain service: it is up if it takes a connection."""
+    """Controls a plain service, which is up if it accepts a connection."""
 
     def __init__(self, url: str):
         parts = urllib.parse.urlsplit(url)
@@ -102,18 +102,18 @@
         return events.EngineStatus(at_ms, PLAIN_EPOCH, '', (), 0, 0, 0, 0)
 
     async def cancel(self, attempt_id: str) -> bool:
-        """Return True: a closed connection is all that a service knows."""
+        """Return True: closing the connection is the only way to cancel."""
         return True
 
     async def load(self, order: effects.LoadAdapter) -> None:
         raise outgoing.NotDone('a plain service has no adapters')
 
     async def close(self) -> None:
-        """Nothing is kept open."""
+        """Do nothing: no connection is kept open."""
 
 
 class EndpointCalls:
-    """Carry out status questions and load orders; feed what came of them."""
+    """Carries out status reads and loads, and feeds their results."""
 
     def __init__(
         self,
@@ -126,23 +126,23 @@
         self.feed = feed
         self.time = time
         self.tasks = tasks
-        self.asking = False
+        self.is_reading_status = False
 
     def handlers(self) -> dict:
-        """Return what carries each class of effect out."""
+        """Return the handler of each class of effect."""
         return {
             effects.ReadStatus: self.read_status,
             effects.LoadAdapter: self.load,
         }
 
     def read_status(self, _effect: effects.ReadStatus) -> None:
-        """Feed EngineStatus or EndpointUnreachable.
+        """Read the status; feeds EngineStatus or EndpointUnreachable.
 
-        While a question is open it stands for the later ones: two answers
-        could overtake each other and show an older status last.
+        Does nothing while an earlier read is in flight: two answers could
+        overtake each other, and an older status would be fed last.
         """
-        if not self.asking:
-            self.asking = True
+        if not self.is_reading_status:
+            self.is_reading_status = True
             self.tasks.start(self._read_status())
 
     def load(self, effect: effects.LoadAdapter) -> None:
@@ -157,22 +157,22 @@
         try:
             event = await self.control.status(self.time.now_ms())
         except outgoing.CallError as error:
-            LOG.debug('status: %s', error)
+            LOG.debug('status read failed: %s', error)
             event = events.EndpointUnreachable(self.time.now_ms())
         finally:
-            self.asking = False
+            self.is_reading_status = False
         self.feed(event)
 
     async def _load(self, order: effects.LoadAdapter) -> None:
         try:
             await self.control.load(order)
         except outgoing.CallError as error:
-            LOG.warning('load of %s: %s', order.adapter, error)
-            self.feed(_load_failed(order, error, self.time.now_ms()))
+            LOG.warning('load of %s failed: %s', order.adapter, error)
+            self.feed(_load_failed_event(order, error, self.time.now_ms()))
         except Exception as error:
-            # A slot whose order is never answered would load for ever.
-            LOG.exception('load of %s', order.adapter)
-            self.feed(_load_failed(order, error, self.time.now_ms()))
+            # Without a result the slot would stay in loading for ever.
+            LOG.exception('load of %s failed', order.adapter)
+            self.feed(_load_failed_event(order, error, self.time.now_ms()))
         else:
             now_ms = self.time.now_ms()
             self.feed(
@@ -180,19 +180,19 @@
             )
 
 
-def _load_failed(
+def _load_failed_event(
     order: effects.LoadAdapter, error: Exception, at_ms: int
 ) -> events.LoadFailed:
     certainty = events.Certainty.UNKNOWN
     reason = events.LoadFailure.NO_ANSWER
     if isinstance(error, outgoing.Refused):
         certainty = events.Certainty.NOT_DONE
-        reason = FAILURES.get(error.kind, events.LoadFailure.REFUSED)
+        reason = LOAD_FAILURES.get(error.kind, events.LoadFailure.REFUSED)
     elif isinstance(error, outgoing.NotDone):
         certainty = events.Certainty.NOT_DONE
     return events.LoadFailed(at_ms, order.order_id, certainty, reason)
 
 
-def _slot(slot: endpoint.Slot) -> events.SlotState:
+def _slot_state(slot: endpoint.Slot) -> events.SlotState:
     ready = slot.state is endpoint.SlotState.READY
     return events.SlotState(slot.slot, slot.adapter, ready)
--- a/berylhollow/sidecar/_engine.py
+++ b/berylhollow/sidecar/_engine.py
@@ -1,4 +1,4 @@
-"""What the endpoint says of itself, and its restarts."""
+"""Handles the status of the endpoint and detects its restarts."""
 
 from berylhollow import effects
 from berylhollow import events
@@ -13,7 +13,7 @@
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Ask for the endpoint's status when it is due."""
+    """Read the endpoint's status if it is due."""
     if at_ms - state.status_read_ms < state.options.status_poll_ms:
         return []
     state.status_read_ms = at_ms
@@ -21,11 +21,11 @@
 
 
 def status(state: _state.State, event: events.EngineStatus) -> Effects:
-    """Take the engine's word for its epoch and its limits.
+    """Update the epoch and the limits from the engine's status.
 
-    Guards against a report that lags behind a restart: an epoch that was
-    left never comes back. Otherwise slots would be trusted that a new
-    engine does not have.
+    Drops a status of an earlier epoch: it lags behind a restart, as an epoch
+    that has ended never comes back. Otherwise adapters would be taken for
+    loaded that the restarted engine does not hold.
     """
     if event.epoch in state.retired_epochs:
         return []
@@ -44,13 +44,13 @@
 def unreachable(
     state: _state.State, event: events.EndpointUnreachable
 ) -> Effects:
-    """Take no new work until the endpoint answers again."""
+    """Begin no runs until the endpoint answers again."""
     state.reachable = False
     return []
 
 
 def _new_epoch(state: _state.State, event: events.EngineStatus) -> Effects:
-    """Empty the slot table: a restarted engine holds no adapter of ours."""
+    """Reset the slots: a restarted engine holds none of the old adapters."""
     done = _runs.all_lost(state, event.at_ms)
     if state.epoch:
         state.retired_epochs.add(state.epoch)
--- a/berylhollow/sidecar/_gateway_links.py
+++ b/berylhollow/sidecar/_gateway_links.py
@@ -11,15 +11,15 @@
 from berylhollow import shell
 
 ROLE = events.Role.ENDPOINT.value
-ROOM_PAUSE_S = 0.005
+CONGESTION_POLL_S = 0.005
 
 
 class GatewayLinks(shell.GatewayLinks):
-    """Links that also carry answers.
+    """Links that also carry answers, with callbacks for their flow control.
 
-    ``acknowledge`` takes acknowledgements, which concern no decision;
-    ``relieve`` is told of a peer that takes more again, ``detach`` of one
-    whose link is gone.
+    ``on_acknowledge`` takes acknowledgements, which the reducer does not
+    need. ``on_writable`` takes the name of a peer whose link is no longer
+    congested, ``on_closed`` that of a peer whose link is gone.
     """
 
     def __init__(
@@ -38,43 +38,43 @@
             time,
         )
         self.tasks = tasks
-        self.full: set[str] = set()
-        self.acknowledge: collections.abc.Callable[
+        self.congested_peers: set[str] = set()
+        self.on_acknowledge: collections.abc.Callable[
             [messages.Acknowledge], None
         ]
-        self.relieve: collections.abc.Callable[[str], None]
-        self.detach: collections.abc.Callable[[str], None]
+        self.on_writable: collections.abc.Callable[[str], None]
+        self.on_closed: collections.abc.Callable[[str], None]
 
     def congested(self, peer: str) -> bool:
-        """Tell whether the peer's link has enough to send for now.
+        """Return whether the link to a peer has too much to send for now.
 
-        If it has, ``relieve`` is called once it takes more.
+        If it has, ``on_writable`` is called once it takes more.
         """
         link = self.by_peer.get(peer)
         if link is None or not link.congested:
             return False
-        if peer not in self.full:
-            self.full.add(peer)
-            self.tasks.start(self._await_room(peer))
+        if peer not in self.congested_peers:
+            self.congested_peers.add(peer)
+            self.tasks.start(self._await_writable(peer))
         return True
 
-    async def _await_room(self, peer: str) -> None:
-        """Look at a full link until it has room, then tell.
+    async def _await_writable(self, peer: str) -> None:
+        """Poll a congested link until it takes more, then report that.
 
-        Acknowledgements alone would not do: an answer of which everything
-        has arrived gets none, and would wait for ever.
+        Acknowledgements alone would not suffice: an answer whose frames were
+        all acknowledged gets no further one and would wait for ever.
         """
         while self.congested(peer):
-            await asyncio.sleep(ROOM_PAUSE_S)
-        self.full.discard(peer)
-        self.relieve(peer)
+            await asyncio.sleep(CONGESTION_POLL_S)
+        self.congested_peers.discard(peer)
+        self.on_writable(peer)
 
     def message(self, link: links.Link, message: messages.Message) -> None:
         if not isinstance(message, messages.Acknowledge):
             super().message(link, message)
         elif self.by_peer.get(link.peer.instance_id) is link:
-            self.acknowledge(message)
+            self.on_acknowledge(message)
 
     def closed(self, peer: str) -> None:
-        self.detach(peer)
+        self.on_closed(peer)
         super().closed(peer)
--- a/berylhollow/sidecar/_options.py
+++ b/berylhollow/sidecar/_options.py
@@ -1,4 +1,4 @@
-"""What the settings decide for a sidecar's reducer."""
+"""Options of a sidecar's reducer."""
 
 import dataclasses
 
@@ -7,24 +7,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Options:
-    """Limits and times of one sidecar; durations in milliseconds.
+    """Limits and times of one sidecar; durations are in milliseconds.
 
-    ``plain`` marks an endpoint without adapters. ``keep_ended_ms`` is how
-    long an ended attempt is remembered for a gateway that resumes.
-    Reports go out every ``report_ms``, those of an idle endpoint that say
-    nothing new every ``report_idle_ms``.
-    ``policy`` names the adapter policy. A wish to load is said again every
-    ``load_ask_ms``; a coordinator that is silent for
-    ``coordinator_silence_ms`` is done without, at a pace of one load in
-    ``load_interval_ms`` to ``load_longest_interval_ms``. A load that takes
-    longer than ``load_hang_ms`` no longer holds up other slots.
-    ``settle_ms`` must be longer than an order can be under way to an engine;
-    ``takeover_wait_ms`` is how long the log may keep a new sidecar from
-    ordering before it takes its number from the engine. ``farewell_ms`` is
-    how long a stop waits for gateways to close their links; it must be
-    longer than a link lasts whose peer is silent. ``orphan_ms`` is how long
-    an attempt may wait to be resumed after its link was lost; it must be
-    longer than a gateway goes on trying.
+    ``plain`` marks an endpoint without adapters, ``policy`` names the adapter
+    policy.
+
+    - ``keep_ended_ms``: how long an ended attempt is kept for a gateway that
+      resumes it.
+    - ``report_ms``: interval between reports to the gateways.
+    - ``report_idle_ms``: interval between reports of an idle endpoint whose
+      state has not changed.
+    - ``load_ask_ms``: interval at which an unchanged request for a load permit
+      is repeated to the load coordinator.
+    - ``coordinator_silence_ms``: after this time without an answer of the
+      coordinator the sidecar loads without permits, one adapter every
+      ``load_interval_ms`` to ``load_longest_interval_ms``.
+    - ``load_hang_ms``: a load that takes longer no longer delays the loads
+      into other slots.
+    - ``settle_ms``: how long an order of unknown outcome may still take
+      effect, and how long at most a new sidecar waits for the runs and loads
+      of its predecessor. Must be longer than an order can be in flight to an
+      engine.
+    - ``takeover_wait_ms``: how long a new sidecar waits for its fencing token
+      from the log before it derives one from the engine's status.
+    - ``farewell_ms``: how long a stop waits for gateways to close their
+      links. Must be longer than the timeout of a link whose peer is silent.
+    - ``orphan_ms``: how long an attempt may wait to be resumed after its link
+      was lost. Must be longer than a gateway tries to resume it.
     """
 
     instance: str
--- a/berylhollow/sidecar/_pages.py
+++ b/berylhollow/sidecar/_pages.py
@@ -1,4 +1,4 @@
-"""The sidecar's own pages: health, readiness, status and metrics."""
+"""HTTP pages of the sidecar: health, readiness, status and metrics."""
 
 import collections.abc
 import dataclasses
@@ -16,7 +16,7 @@
 
 
 class Pages(shell.PagesServer):
-    """Serves pages on a listener of its own; it only reads the state."""
+    """Serves the pages on their own listener; only reads the state."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotStatus:
-    """One slot as the status page shows it."""
+    """State of one adapter slot on the status page."""
 
     slot: int
     phase: str
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """What the status page shows of a sidecar."""
+    """Contents of the status page."""
 
     instance: str
     role: str
@@ -87,7 +87,7 @@
 
 
 def describe(state, at_ms: int) -> Status:
-    """Return the status of a reducer's state."""
+    """Return the status page for a state of the reducer."""
     return Status(
         instance=state.options.instance,
         role=all_settings.Role.SIDECAR,
@@ -99,12 +99,12 @@
         running=len(state.running),
         queued=len(state.queue),
         gateways=tuple(state.links),
-        slots=tuple(_slot(slot) for slot in state.slots),
+        slots=tuple(_slot_status(slot) for slot in state.slots),
         configuration=state.follower.status(at_ms),
     )
 
 
-def _slot(slot) -> SlotStatus:
+def _slot_status(slot) -> SlotStatus:
     return SlotStatus(
         slot.number, slot.phase.value, str(slot.adapter or ''), slot.pins
     )
--- a/berylhollow/sidecar/_pauses.py
+++ b/berylhollow/sidecar/_pauses.py
@@ -1,30 +1,31 @@
-"""Pauses of our own process, which are no measure of anything else.
+"""Detects pauses of this process, which would distort its measurements.
 
-Guards against estimates that a pause spoils: a load or a run that was under
-way while this process stood still seems to have taken that long. It shows
-as requests that are refused for being too late on an endpoint that is well;
-with none admitted, nothing corrects the estimate. Ticks come every few
-hundredths of a second, so a gap between them is a pause.
+Guards against wrong estimates after a pause: a load or a run that was in
+flight while this process stood still seems to have taken that long. An
+endpoint that is healthy then refuses requests because they would end too
+late, and as none is admitted, no new measurement corrects the estimate. Ticks
+come every few hundredths of a second, so a gap between them is a pause.
 """
 
 from berylhollow.sidecar import _state
 
-PAUSE_MS = 500
+MIN_PAUSE_MS = 500
+"""A longer gap between two ticks counts as a pause."""
 
 
 def ticked(state: _state.State, at_ms: int) -> None:
-    """Note a tick, and a pause before it."""
-    if paused_before(state, at_ms):
+    """Record the time of a tick, and of the end of a pause before it."""
+    if _has_just_paused(state, at_ms):
         state.woke_ms = at_ms
     state.ticked_ms = at_ms
 
 
 def measures(state: _state.State, since_ms: int, at_ms: int) -> bool:
-    """Tell whether a span up to now holds no pause of ours."""
-    return since_ms >= state.woke_ms and not paused_before(state, at_ms)
+    """Return whether no pause fell between ``since_ms`` and now."""
+    return since_ms >= state.woke_ms and not _has_just_paused(state, at_ms)
 
 
-def paused_before(state: _state.State, at_ms: int) -> bool:
-    """Tell whether this moment is the first after a pause."""
+def _has_just_paused(state: _state.State, at_ms: int) -> bool:
+    """Return whether this process has paused since the last tick."""
     last_ms = state.ticked_ms
-    return last_ms is not None and at_ms - last_ms > PAUSE_MS
+    return last_ms is not None and at_ms - last_ms > MIN_PAUSE_MS
--- a/berylhollow/sidecar/_reports.py
+++ b/berylhollow/sidecar/_reports.py
@@ -1,4 +1,4 @@
-"""What the sidecar tells its gateways of its endpoint now and then."""
+"""Reports on the endpoint that the sidecar sends to its gateways."""
 
 import dataclasses
 
@@ -11,11 +11,11 @@
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Report to every linked gateway when it is due and says anything."""
+    """Report to every linked gateway if that is due and not redundant."""
     if at_ms - state.reported_ms < state.options.report_ms:
         return []
-    report = _report(state, at_ms)
-    if _says_nothing_new(state, report, at_ms):
+    report = _make_report(state, at_ms)
+    if _is_redundant(state, report, at_ms):
         return []
     state.reported_ms = at_ms
     state.reported = report
@@ -23,19 +23,19 @@
 
 
 def tell(state: _state.State, peer: str, at_ms: int) -> Effects:
-    """Report to one gateway now."""
-    return [effects.Send(peer, _report(state, at_ms))]
+    """Send a report to one gateway now."""
+    return [effects.Send(peer, _make_report(state, at_ms))]
 
 
-def tell_all(state: _state.State, at_ms: int) -> Effects:
-    """Report to every linked gateway now."""
-    report = _report(state, at_ms)
+def report_to_all(state: _state.State, at_ms: int) -> Effects:
+    """Send a report to every linked gateway now."""
+    report = _make_report(state, at_ms)
     return [effects.Send(peer, report) for peer in state.links]
 
 
-def _report(state: _state.State, at_ms: int) -> messages.Report:
+def _make_report(state: _state.State, at_ms: int) -> messages.Report:
     current = state.follower.current
-    values = [
+    slot_values = [
         _demands.slot_value(state, slot, at_ms)
         for slot in state.slots
         if slot.pins == 0
@@ -47,46 +47,48 @@
         epoch=state.epoch,
         ready=state.reachable,
         leaving=state.stopping,
-        slots=tuple(_slot(slot) for slot in state.slots),
-        wanted=_wanted(state),
+        slots=tuple(_slot_report(slot) for slot in state.slots),
+        wanted=_wanted_adapters(state),
         running=len(state.running),
         queued=len(state.queue),
         capacity=state.capacity,
         revision=current.revision if current else 0,
         run_ms=state.run_ms,
-        evictable=bool(values),
-        victim_value=min(values, default=0.0),
+        evictable=bool(slot_values),
+        victim_value=min(slot_values, default=0.0),
     )
 
 
-def _says_nothing_new(
+def _is_redundant(
     state: _state.State, report: messages.Report, at_ms: int
 ) -> bool:
-    """Tell whether an idle endpoint would only repeat itself.
-
-    A gateway with a hundred idle endpoints would otherwise spend more on
-    their reports than it may spend on control. A gateway whose link opens
-    is told at once, and links are ordered, so it misses nothing. While
-    requests are here the report goes out in any case: equal counts may be
-    those of other requests, and a gateway takes the report for word of the
-    ones that it had offered by then.
+    """Return whether an idle endpoint would only repeat its last report.
+
+    Without this a gateway with a hundred idle endpoints would spend more on
+    their reports than its budget for control traffic allows. Gateways miss
+    nothing: one whose link opens gets a report at once, and links keep the
+    order of messages. While there are requests the report is always sent.
+    Equal counts may then stand for other requests, and a gateway takes the
+    report to cover all that it had offered before.
     """
     last = state.reported
     if last is None or report.running or report.queued:
         return False
     if at_ms - state.reported_ms >= state.options.report_idle_ms:
         return False
-    # The value of the slots fades with every millisecond that passes.
-    faded = dataclasses.replace(report, victim_value=last.victim_value)
-    return faded == last
+    # The value decays with time, so a changed value alone is no news.
+    comparable = dataclasses.replace(report, victim_value=last.victim_value)
+    return comparable == last
 
 
-def _slot(slot: _state.Slot) -> messages.SlotReport:
+def _slot_report(slot: _state.Slot) -> messages.SlotReport:
     ready = slot.phase is _state.SlotPhase.READY
     return messages.SlotReport(slot.number, slot.adapter, ready, slot.pins)
 
 
-def _wanted(state: _state.State) -> tuple[messages.AdapterVersion, ...]:
+def _wanted_adapters(
+    state: _state.State,
+) -> tuple[messages.AdapterVersion, ...]:
     adapters = dict.fromkeys(
         state.attempts[attempt_id].offer.adapter for attempt_id in state.queue
     )
--- a/berylhollow/sidecar/_run.py
+++ b/berylhollow/sidecar/_run.py
@@ -1,4 +1,4 @@
-"""One run at the endpoint as the sidecar's shell follows it."""
+"""State that the sidecar's shell keeps of a run at the endpoint."""
 
 import asyncio
 import dataclasses
@@ -9,14 +9,22 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Run:
-    """A run under way, or one whose frames are still kept.
-
-    ``peer`` is the gateway that the answer goes to. ``accepted`` is set when
-    the reducer has passed the head on: before that no byte of the body may
-    leave. ``room`` is set when the sender may take more. ``head_seen`` tells
-    that the endpoint has the request, ``over`` that its connection is gone,
-    ``detached`` that the gateway's link is gone and that it has not resumed,
-    ``cancelling`` that nothing but the confirmation is reported any more.
+    """A run in flight, or one whose frames are kept until acknowledged.
+
+    ``peer`` is the gateway that the answer is sent to. The events:
+
+    - ``accepted``: the reducer has passed the head on. No byte of the body
+      may be sent before.
+    - ``room``: the sender or the link may have become able to take more.
+
+    The flags:
+
+    - ``head_seen``: the answer's head has arrived, so the endpoint has the
+      request.
+    - ``over``: the connection to the endpoint is gone.
+    - ``detached``: the gateway's link is gone and it has not resumed yet.
+    - ``cancelling``: a cancel is in flight; only its confirmation is still
+      reported.
     """
 
     effect: effects.StartRun
--- a/berylhollow/sidecar/_shell.py
+++ b/berylhollow/sidecar/_shell.py
@@ -1,4 +1,4 @@
-"""The sidecar's shell: links, endpoint and platform around the reducer."""
+"""Connects the sidecar's reducer to links, endpoint and platform."""
 
 import asyncio
 import errno
@@ -20,24 +20,24 @@
 
 LOG = logging.getLogger(__name__)
 
-LAST_FRAMES_MS = 5000
-"""Time for a gateway to come back at a stop; longer than it tries to."""
+DELIVERY_TIMEOUT_MS = 5000
+"""How long a stop waits for gateways to resume; longer than they try to."""
 
-LAST_FRAMES_PAUSE_MS = 20
+DELIVERY_POLL_MS = 20
 
 ANSWER_BUFFER_BYTES = 16 * 1024
-"""What is held of an answer beside the frames that are kept of it."""
+"""Read buffer of one answer, beside the frames kept until acknowledged."""
 
 
 class PortTakenError(Exception):
-    """Another process holds the port that keeps sidecars apart."""
+    """Another process holds the port, which only one sidecar can bind."""
 
 
 class Shell:
-    """Runs one sidecar around a reducer.
+    """Runs one sidecar: feeds its reducer and carries out the effects.
 
-    ``ended`` is set to the exit code when the reducer has nothing more to
-    do. ``count`` takes the name, value and attributes of metrics.
+    ``ended`` is set to the exit code when the reducer asks to exit or fails.
+    ``count`` takes the name, value and attributes of a metric.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self.ended: asyncio.Future[int] = asyncio.Future()
         self.tasks = shell.Tasks()
         self.driver = shell.Driver(reduce, state, self.time, {})
-        self.driver.failed.add_done_callback(self._failed)
+        self.driver.failed.add_done_callback(self._end_after_failure)
         self.links = _gateway_links.GatewayLinks(
             settings,
             self.incarnation,
@@ -68,22 +68,21 @@
         self.runs: _run_calls.RunCalls | None = None
 
     async def start(self) -> None:
-        """Take the port, then begin.
+        """Bind the port, then start the reducer.
 
-        Guards against two sidecars that order the same endpoint about: the
-        newer one would load over an adapter that the older one runs on. The
-        kernel keeps the port with a process that is only paused, so that a
-        replacement ends here, before it has sent any order. Raises
-        PortTakenError.
+        Guards against two sidecars that send orders to the same endpoint: the
+        newer one would load over an adapter that the older one is using. A
+        process that is only paused still holds its port, so a replacement
+        fails here, before it has sent any order. Raises PortTakenError.
         """
         try:
             await self.links.start()
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
-            raise PortTakenError(self._port_taken()) from error
+            raise PortTakenError(self._port_taken_message()) from error
         LOG.info('listening', extra={'port': self.links.server.port})
-        self._connect()
+        self._create_calls()
         now_ms = self.time.now_ms()
         self.driver.feed(events.Started(now_ms, self.incarnation))
         self.tasks.start(self.driver.tick(self.settings.tick_ms))
@@ -93,31 +92,31 @@
         if not self.ended.done():
             self.driver.feed(events.StopRequested(self.time.now_ms()))
         code = await self.ended
-        await self._last_frames()
+        await self._await_delivery()
         await self.close()
         return code
 
-    async def _last_frames(self) -> None:
-        """Let gateways whose link broke come back for the end of answers.
+    async def _await_delivery(self) -> None:
+        """Wait for gateways whose link broke to resume complete answers.
 
-        What went to a link that is open arrives before the link closes.
+        Frames on an open link need no wait: they are sent before it closes.
         """
-        pause_s = LAST_FRAMES_PAUSE_MS / clock.MS_PER_SECOND
-        for _ in range(LAST_FRAMES_MS // LAST_FRAMES_PAUSE_MS):
+        pause_s = DELIVERY_POLL_MS / clock.MS_PER_SECOND
+        for _ in range(DELIVERY_TIMEOUT_MS // DELIVERY_POLL_MS):
             if not self.runs.undelivered():
                 return
             await asyncio.sleep(pause_s)
         LOG.warning('answers that no gateway came back for are dropped')
 
     async def close(self) -> None:
-        """End the links after what was sent on them, and every call."""
+        """Close the links after flushing them, and end every call."""
         await self.links.stop()
         await self.tasks.stop()
         await self.runs.close()
         await self.endpoint.close()
         await self.platform.close()
 
-    def _connect(self) -> None:
+    def _create_calls(self) -> None:
         settings = self.settings
         feed = self.driver.feed
         url = settings.endpoint.url
@@ -130,16 +129,16 @@
             control, feed, self.time, self.tasks
         )
         self.runs = _run_calls.RunCalls(
-            _open_endpoint(url, is_engine),
+            _open_run_client(url, is_engine),
             control,
             self.links,
             feed,
             self.time,
             self.tasks,
         )
-        self.links.acknowledge = self.runs.acknowledge
-        self.links.relieve = self.runs.relieve
-        self.links.detach = self.runs.detach
+        self.links.on_acknowledge = self.runs.acknowledge
+        self.links.on_writable = self.runs.relieve
+        self.links.on_closed = self.runs.detach
         self.platform = shell.PlatformCalls(
             *shell.own_service(settings.platform.url),
             feed,
@@ -175,20 +174,20 @@
         if not self.ended.done():
             self.ended.set_result(effect.code)
 
-    def _failed(self, failed: asyncio.Future) -> None:
+    def _end_after_failure(self, failed: asyncio.Future) -> None:
         if not failed.cancelled() and not self.ended.done():
             self.ended.set_result(1)
 
-    def _port_taken(self) -> str:
+    def _port_taken_message(self) -> str:
         listen = self.settings.listen
         return (
-            f'{listen.host}:{listen.port} is taken: another sidecar runs '
-            'beside this endpoint, or is paused; end it first'
+            f'{listen.host}:{listen.port} is taken: another sidecar of '
+            'this endpoint is running or paused; stop it first'
         )
 
 
-def _open_endpoint(url: str, is_engine: bool) -> endpoint.EndpointClient:
-    """Return the client for runs, which holds little of each answer."""
+def _open_run_client(url: str, is_engine: bool) -> endpoint.EndpointClient:
+    """Return a client for runs, with a small read buffer for each answer."""
     return endpoint.EndpointClient(
         url,
         is_engine,
--- a/berylhollow/sidecar/_shutdown.py
+++ b/berylhollow/sidecar/_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a sidecar, and with it of its endpoint's work."""
+"""Graceful shutdown of a sidecar: drains the runs of its endpoint."""
 
 from berylhollow import effects
 from berylhollow import errors
@@ -11,14 +11,14 @@
 
 
 def requested(state: _state.State, event: events.StopRequested) -> Effects:
-    """Take no new work, hand back what never began, finish the rest."""
+    """Refuse new attempts, hand back the queued ones, let runs finish."""
     if state.stopping:
         return []
     state.stopping = True
     state.stop_by_ms = event.at_ms + state.options.stop_grace_ms
     state.farewell_by_ms = event.at_ms + state.options.farewell_ms
     state.farewells = set(state.links)
-    done = _reports.tell_all(state, event.at_ms)
+    done = _reports.report_to_all(state, event.at_ms)
     for attempt_id in list(state.queue):
         attempt = state.attempts[attempt_id]
         done += _runs.end_unrun(
@@ -28,26 +28,33 @@
 
 
 def link_opened(state: _state.State, event: events.LinkOpened) -> None:
-    """Wait for a gateway too that finds us while we leave."""
-    knows = event.incarnation in state.farewells_had
-    if state.stopping and not knows:
+    """Wait for a gateway that links during the shutdown as well.
+
+    One that has closed its link before already knows of the shutdown.
+    """
+    is_notified = event.incarnation in state.farewells_had
+    if state.stopping and not is_notified:
         state.farewells.add(event.peer)
 
 
 def link_closed(state: _state.State, event: events.LinkClosed) -> None:
-    """A gateway knows that we leave; it may look whether we are gone."""
+    """Record that a gateway knows of the shutdown.
+
+    It may link again to check whether the sidecar is gone.
+    """
     state.farewells.discard(event.peer)
     if state.stopping and event.peer in state.links:
         state.farewells_had.add(state.links[event.peer])
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
-    """Exit once nothing runs, or the grace period is over.
+    """Exit once nothing runs and every gateway has closed its link.
 
-    And once each gateway has closed its link, which it does when it knows
-    that we leave and nothing of it is left here. Guards against an offer
-    that is still under way when we exit: its gateway could never tell
-    whether it ran, and a key would be lost to a planned stop.
+    Each condition has a timeout after which it is waived. A gateway closes
+    its link once it knows of the shutdown and has no attempt left here.
+    Guards against an offer that is still in flight at the exit: its gateway
+    could never tell whether it ran, and an idempotency key would be lost to
+    a planned stop.
     """
     if not state.stopping or state.exited:
         return []
--- a/berylhollow/sidecar/service.py
+++ b/berylhollow/sidecar/service.py
@@ -1,4 +1,4 @@
-"""The sidecar as a process: its shell, its pages and its signals."""
+"""Runs the sidecar as a process, with its status pages and metrics."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 from berylhollow.util import loop
 
 STOP_MARGIN_MS = 10_000
-"""Time to close the links after the reducer's own grace has ended."""
+"""Time to close the links after the reducer's grace period has ended."""
 
 
 def serve(settings: all_settings.SidecarSettings) -> int:
@@ -35,7 +35,7 @@
 def make_state(
     settings: all_settings.SidecarSettings, follower: following.Follower
 ) -> _state.State:
-    """Return the reducer's first state, as the settings have it."""
+    """Return the reducer's initial state for these settings."""
     endpoint = settings.endpoint
     options = _options.Options(
         instance=settings.instance,
@@ -56,14 +56,14 @@
 def make_follower(
     settings: all_settings.SidecarSettings,
 ) -> configuration.Follower:
-    """Return what follows the configuration for a sidecar."""
+    """Return a sidecar's follower of the configuration."""
     return configuration.Follower(
         settings.instance, events.Role.ENDPOINT, settings.failure_domain
     )
 
 
 class SidecarService(aiomisc.Service):
-    """Starts and stops one sidecar with its process."""
+    """Service that runs one sidecar for the lifetime of the process."""
 
     def __init__(
         self, settings: all_settings.SidecarSettings, lifetime: loop.Lifetime
@@ -82,10 +82,10 @@
             make_state(settings, make_follower(settings)),
             meters.add,
         )
-        self._observe(meters)
+        self._observe_gauges(meters)
         self.pages = _pages.Pages(settings, self.shell, meters.render)
 
-    def _observe(self, meters: metrics.Meters) -> None:
+    def _observe_gauges(self, meters: metrics.Meters) -> None:
         state = self.shell.driver.state
         service = [('berylhollow.service', state.options.service)]
         meters.observe(
@@ -97,22 +97,22 @@
         following.observe(state.follower, self.shell.driver.time, meters)
 
     async def start(self) -> None:
-        """Take the port and begin."""
+        """Bind the port and start the sidecar."""
         try:
             await self.shell.start()
         except _shell.PortTakenError as error:
             raise exits.UserError(
                 str(error), exits.ExitCode.ADDRESS_IN_USE
             ) from error
-        self.shell.ended.add_done_callback(self._ended)
+        self.shell.ended.add_done_callback(self._stop_process)
         if self.settings.status.enabled:
             await self.pages.start()
         metrics.open_soon(self.meters)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Finish what runs, then close."""
+        """Let runs finish, then close."""
         self.lifetime.stop(await self.shell.stop())
         await self.pages.stop()
 
-    def _ended(self, ended: asyncio.Future[int]) -> None:
+    def _stop_process(self, ended: asyncio.Future[int]) -> None:
         self.lifetime.stop(ended.result())
--- a/test/test_sidecar_shell.py
+++ b/test/test_sidecar_shell.py
@@ -1,4 +1,4 @@
-"""Tests of the sidecar's shell, between a gateway's link and stand-ins."""
+"""Tests of the sidecar's shell with a gateway's link and stand-ins."""
 
 import asyncio
 
@@ -41,7 +41,7 @@
 
 
 class ShellTestCase(standin_helper.StandInTestCase):
-    """A sidecar between stand-ins, and a gateway linked to it."""
+    """Runs a sidecar with stand-ins and a gateway linked to it."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -64,7 +64,7 @@
         self.stack.push_async_callback(self.shell.close)
 
     async def connect(self):
-        """Link a gateway to the sidecar."""
+        """Link a gateway to the sidecar and wait for a ready report."""
         client = links.LinkClient(
             '127.0.0.1',
             self.shell.links.server.port,
@@ -76,18 +76,18 @@
         self.stack.push_async_callback(client.wait)
         self.stack.callback(link.close)
         await self.handler.until(lambda: self.handler.ups)
-        await self.handler.until(self.ready)
+        await self.handler.until(self.is_ready)
         return link
 
-    def of_type(self, message_type):
+    def received(self, message_type):
         return [
             message
             for message in self.handler.messages
             if isinstance(message, message_type)
         ]
 
-    def ready(self):
-        reports = self.of_type(messages.Report)
+    def is_ready(self):
+        reports = self.received(messages.Report)
         return bool(reports) and reports[-1].ready
 
 
@@ -96,35 +96,35 @@
         await self.serve()
         link = await self.connect()
         link.send(builders.offer(body=BODY))
-        await self.handler.until(lambda: self.of_type(messages.End))
-        (started,) = self.of_type(messages.Started)
+        await self.handler.until(lambda: self.received(messages.End))
+        (started,) = self.received(messages.Started)
         self.assertEqual('a1@1', str(started.adapter))
-        parts = self.of_type(messages.Data)
+        parts = self.received(messages.Data)
         body = b''.join(part.payload for part in parts)
         self.assertTrue(body.rstrip().endswith(b'data: [DONE]'))
-        self.assertEqual(len(parts), self.of_type(messages.End)[0].count)
+        self.assertEqual(len(parts), self.received(messages.End)[0].count)
 
     async def test_graceful_stop_finishes_what_runs(self):
-        """A rollout cuts off the answers that are being read.
+        """A rollout cuts off answers that are being relayed.
 
-        The sidecar is told to stop while an answer is on its way. Cause: a
-        stop that closes the links before the last frame is on them.
+        The sidecar is told to stop during an answer. Cause: the stop closes
+        the links before the last frame is sent.
         """
         await self.serve()
         link = await self.connect()
         link.send(builders.offer(body=BODY))
-        await self.handler.until(lambda: self.of_type(messages.Started))
+        await self.handler.until(lambda: self.received(messages.Started))
         self.assertEqual(0, await self.shell.stop())
         await self.handler.until(lambda: self.handler.downs)
-        (end,) = self.of_type(messages.End)
-        self.assertEqual(len(self.of_type(messages.Data)), end.count)
+        (end,) = self.received(messages.End)
+        self.assertEqual(len(self.received(messages.Data)), end.count)
 
-    async def test_stop_waits_for_a_gateway_to_fetch_the_end(self):
-        """A rollout leaves a caller with half an answer.
+    async def test_stop_waits_for_a_gateway_to_resume_an_answer(self):
+        """A rollout leaves a caller with a truncated answer.
 
-        The gateway's link breaks as the last frames are on it, and the
-        sidecar ends before the gateway is back. Cause: an answer that was
-        sent taken for one that has arrived.
+        The gateway's link breaks while it carries the last frames, and the
+        sidecar exits before the gateway has linked again. Cause: an answer
+        that was sent is taken for one that has arrived.
         """
         await self.serve()
         link = await self.connect()
@@ -141,9 +141,9 @@
         self.handler = link_builders.RecordingHandler()
         link = await self.connect()
         link.send(messages.Resume('r1.1', 0))
-        await self.handler.until(lambda: self.of_type(messages.End))
-        parts = len(self.of_type(messages.Data))
-        self.assertEqual(parts, self.of_type(messages.End)[0].count)
+        await self.handler.until(lambda: self.received(messages.End))
+        parts = len(self.received(messages.Data))
+        self.assertEqual(parts, self.received(messages.End)[0].count)
         link.send(messages.Acknowledge('r1.1', parts + 1))
         self.assertEqual(0, await stop)
 
@@ -157,30 +157,31 @@
 
 
 class CongestionTest(ShellTestCase):
-    async def test_full_link_is_relieved_without_acknowledgements(self):
-        """An answer stops in the middle and never goes on.
+    async def test_congested_link_recovers_without_acknowledgements(self):
+        """An answer stalls in the middle for ever.
 
-        Its link was full as its next part came; what was sent before is
-        acknowledged already. Cause: only an acknowledgement wakes it.
+        Its link was congested when the next chunk arrived, and all frames
+        sent before are acknowledged already. Cause: only an acknowledgement
+        lets the answer continue.
         """
         await self.serve()
         await self.connect()
-        relieved = asyncio.Event()
-        self.shell.links.relieve = lambda peer: relieved.set()
+        writable = asyncio.Event()
+        self.shell.links.on_writable = lambda peer: writable.set()
         link = self.shell.links.by_peer['g1']
         link.queued_bytes = link.options.congested_bytes + 1
         self.assertTrue(self.shell.links.congested('g1'))
         link.queued_bytes = 0
-        await relieved.wait()
+        await writable.wait()
 
 
 class PortTest(ShellTestCase):
-    async def test_second_sidecar_ends_before_it_orders_anything(self):
+    async def test_second_sidecar_exits_before_it_sends_orders(self):
         """A request is answered by an adapter that it did not ask for.
 
-        Two sidecars each take the engine for their own; one loads over a
-        slot on which the other has a request. Cause: a replacement that may
-        start while its predecessor is alive, or only paused.
+        Two sidecars control the same engine, and one loads into a slot in
+        which the other runs a request. Cause: a replacement may start while
+        its predecessor is alive or paused.
         """
         await self.serve()
         port = self.shell.links.server.port
@@ -201,9 +202,8 @@
     async def test_defect_in_the_reducer_ends_the_process(self):
         """An adapter in use is evicted after an error in the log.
 
-        The reducer fails half way through an event and goes on with pins
-        that were counted wrongly. Cause: a defect that is logged and
-        survived.
+        The reducer fails half way through an event and continues with wrong
+        pin counts. Cause: the process logs the error and keeps running.
         """
 
         def reduce(state, event):
@@ -215,8 +215,8 @@
 
 
 class LoadTest(sidecar_helper.RunTestCase):
-    async def failure(self, error):
-        """Return what is reported of a load that fails like this."""
+    async def load_failure(self, error):
+        """Return the event fed for a load that raises ``error``."""
         self.control.load_error = error
         tasks = shell.Tasks()
         calls = _endpoint_calls.EndpointCalls(
@@ -229,12 +229,12 @@
             calls.load(order)
             return await self.until(events.LoadFailed)
 
-    async def test_only_a_refused_or_unsent_order_is_not_done(self):
+    async def test_only_refused_and_unsent_orders_are_not_done(self):
         """A request is answered by an adapter that it did not ask for.
 
-        A load's answer is lost, the slot is taken for unchanged, and the
-        load takes effect. Cause: an order of unknown outcome taken for one
-        that was never carried out.
+        The answer to a load is lost, the slot is assumed to be unchanged,
+        and the load takes effect. Cause: an order of unknown outcome is
+        treated as not carried out.
         """
         unknown = events.Certainty.UNKNOWN
         not_done = events.Certainty.NOT_DONE
@@ -251,7 +251,7 @@
         )
         for error, certainty, reason in cases:
             with self.subTest(str(error)):
-                failed = await self.failure(error)
+                failed = await self.load_failure(error)
                 self.assertEqual(certainty, failed.certainty)
                 self.assertEqual(reason, failed.reason)
 
