--- a/test/test_counts.py
+++ b/test/test_counts.py
@@ -1,4 +1,4 @@
-"""Tests of what the reducers count."""
+"""Tests of the metrics that the reducers count."""
 
 from berylhollow import effects
 from berylhollow import errors
@@ -9,11 +9,14 @@
 from test import test_sidecar
 
 
-class Counting:
-    """Reads the counts of the last event."""
+class CountsMixin:
+    """Reads the metrics counted for the last event."""
 
     def counts(self, name):
-        """Return value and attributes of each count; all must be declared."""
+        """Return value and attributes of each count of a metric.
+
+        Fails if a count of any metric is not declared.
+        """
         found = []
         for count in self.of_type(effects.Count):
             attributes = dict(count.attributes)
@@ -23,8 +26,8 @@
         return found
 
 
-class GatewayCountsTest(Counting, test_gateway.GatewayTestCase):
-    def retries(self):
+class GatewayCountsTest(CountsMixin, test_gateway.GatewayTestCase):
+    def retry_attributes(self):
         return [
             attributes['berylhollow.retry']
             for _, attributes in self.counts('berylhollow.attempts')
@@ -32,16 +35,16 @@
 
     def test_first_attempt_and_retry(self):
         peer, attempt_id = self.arrive(key='k')
-        self.assertEqual(['false'], self.retries())
+        self.assertEqual(['false'], self.retry_attributes())
         refused = messages.Failed(
             attempt_id, errors.Kind.LEAVING, errors.Ran.NOT_RUN
         )
         self.receive(refused, peer=peer)
-        self.assertEqual(['true'], self.retries())
+        self.assertEqual(['true'], self.retry_attributes())
 
 
-class SidecarCountsTest(Counting, test_sidecar.SidecarTestCase):
-    def test_stall_and_batch_at_the_start_of_a_run(self):
+class SidecarCountsTest(CountsMixin, test_sidecar.SidecarTestCase):
+    def test_load_stall_and_batch_size_at_the_start_of_a_run(self):
         self.offer()
         (order,) = self.of_type(effects.LoadAdapter)
         self.feed(events.LoadSucceeded(250, order.order_id, 'epoch-1'))
--- a/test/test_sidecar_process.py
+++ b/test/test_sidecar_process.py
@@ -1,4 +1,4 @@
-"""Tests of the sidecar as a process: its port, its pages, its memory."""
+"""Tests of the sidecar process: its port and its memory use."""
 
 import json
 import pathlib
@@ -10,8 +10,8 @@
 
 from berylhollow.util import exits
 
-KIB_LIMIT = 64 * 1024
-NOWHERE = 'http://127.0.0.1:9'
+MEMORY_LIMIT_KIB = 64 * 1024
+UNREACHABLE_URL = 'http://127.0.0.1:9'
 
 
 class ProcessTest(unittest.TestCase):
@@ -20,9 +20,9 @@
             'instance': 'e1',
             'failure_domain': 'sul-a',
             'link_key': 'the key that all instances share',
-            'platform': {'url': NOWHERE},
+            'platform': {'url': UNREACHABLE_URL},
             'service': 'modelos',
-            'endpoint': {'url': NOWHERE},
+            'endpoint': {'url': UNREACHABLE_URL},
             'listen': {'port': port},
             'status': {'port': 0},
         }
@@ -43,20 +43,25 @@
         self.addCleanup(process.kill)
         return process
 
-    def port(self, process):
-        """Return the link port of a process, from its log."""
-        lines = (json.loads(line) for line in process.stderr)
-        return next(x['port'] for x in lines if x['message'] == 'listening')
+    def link_port(self, process):
+        """Return the link port that a process logs."""
+        entries = (json.loads(line) for line in process.stderr)
+        return next(
+            entry['port']
+            for entry in entries
+            if entry['message'] == 'listening'
+        )
 
-    def test_paused_sidecar_keeps_its_replacement_out(self):
+    def test_paused_sidecar_keeps_its_replacement_from_starting(self):
         """Two sidecars load over each other's adapters.
 
-        The first is paused for so long that a replacement is started; then
-        it wakes up and goes on. Cause: a lease or a pid file, which lapse
-        or go while their holder is paused; the kernel's port does not.
+        The first is paused for so long that a replacement is started, and
+        then resumes. Cause: mutual exclusion by a lease or pid file, which
+        can expire or be removed while its holder is paused. A bound port is
+        kept by the kernel.
         """
         first = self.start()
-        port = self.port(first)
+        port = self.link_port(first)
         first.send_signal(signal.SIGSTOP)
         second = self.start(port)
         self.assertEqual(exits.ExitCode.ADDRESS_IN_USE, second.wait())
@@ -64,11 +69,11 @@
         first.send_signal(signal.SIGCONT)
         first.send_signal(signal.SIGTERM)
         self.assertEqual(exits.ExitCode.OK, first.wait())
-        self.assertGreater(self.port(self.start(port)), 0)
+        self.assertGreater(self.link_port(self.start(port)), 0)
 
-    def test_idle_sidecar_fits_its_node(self):
+    def test_idle_sidecar_stays_below_its_memory_limit(self):
         process = self.start()
-        self.port(process)
+        self.link_port(process)
         status = pathlib.Path(f'/proc/{process.pid}/status').read_text()
-        (line,) = (x for x in status.splitlines() if x.startswith('VmRSS'))
-        self.assertLess(int(line.split()[1]), KIB_LIMIT)
+        (rss,) = (x for x in status.splitlines() if x.startswith('VmRSS'))
+        self.assertLess(int(rss.split()[1]), MEMORY_LIMIT_KIB)
--- a/test/test_sidecar_reports.py
+++ b/test/test_sidecar_reports.py
@@ -1,4 +1,4 @@
-"""Tests of when a sidecar reports to its gateways."""
+"""Tests of the reports that a sidecar sends to its gateways."""
 
 from berylhollow import events
 from berylhollow import messages
@@ -19,37 +19,37 @@
         self.feed(events.Ticked(1))
 
     def reports(self, from_ms, until_ms):
-        """Return what is reported in a span of ticks."""
+        """Yield the reports sent by ticks from one time until another."""
         for at_ms in range(from_ms, until_ms, REPORT_MS):
             self.feed(events.Ticked(at_ms))
             yield from self.sent(messages.Report)
 
-    def test_idle_endpoint_repeats_itself_seldom(self):
-        told = list(self.reports(REPORT_MS, 3 * IDLE_MS))
-        self.assertEqual(2, len(told))
+    def test_idle_endpoint_repeats_its_report_rarely(self):
+        sent_reports = list(self.reports(REPORT_MS, 3 * IDLE_MS))
+        self.assertEqual(2, len(sent_reports))
 
-    def test_change_of_an_idle_endpoint_is_told_at_once(self):
+    def test_change_of_an_idle_endpoint_is_reported_at_once(self):
         self.assertEqual([], list(self.reports(300, 1000)))
         self.feed(events.EndpointUnreachable(1000))
-        told = list(self.reports(1000, 2000))
-        self.assertEqual([False], [report.ready for report in told])
+        sent_reports = list(self.reports(1000, 2000))
+        self.assertEqual([False], [report.ready for report in sent_reports])
 
     def test_endpoint_with_requests_keeps_reporting(self):
-        """A gateway takes an endpoint for busier than it is, and avoids it.
+        """A gateway avoids an endpoint that it takes for busier than it is.
 
-        One request ends and another begins between two reports, which are
-        then equal. The gateway counts the first as still there, unless the
-        second report tells it that all it knew of is in this one.
+        If one request ends and another begins between two reports, these are
+        equal. Without the second report the gateway would still count the
+        first request.
         """
         self.receive(builders.offer('r1.1'), at_ms=300, peer='g1')
-        told = list(self.reports(500, 1500))
-        self.assertEqual(4, len(told))
+        sent_reports = list(self.reports(500, 1500))
+        self.assertEqual(4, len(sent_reports))
 
-    def test_new_link_is_told_while_nothing_changes(self):
-        """A gateway sends nothing to an endpoint that it knows nothing of.
+    def test_new_link_gets_a_report_while_nothing_changes(self):
+        """A gateway sends no requests to an endpoint without a report.
 
-        It starts, or its link broke, while the endpoint is idle; the next
-        report would come only with the next change.
+        If the gateway starts or its link breaks while the endpoint is idle,
+        the next report would come only with the next change.
         """
         list(self.reports(300, 1000))
         self.open_link('g2', events.Role.GATEWAY, 1000)
