--- a/berylhollow/configuration/__init__.py
+++ b/berylhollow/configuration/__init__.py
@@ -1,8 +1,8 @@
-"""The configuration in force: a fold over the platform's log.
+"""The configuration in force, computed from the platform's log.
 
-Which changes are accepted is a pure function of the log's prefix, the same
-in every process and every software version that knows the rule by which a
-change asks to be judged.
+Which changes are accepted depends only on the records in the log. Every
+process and every software version that supports the acceptance rule of a
+change therefore reaches the same result.
 """
 
 from berylhollow.configuration import _changes
@@ -19,7 +19,7 @@
 STREAM = _log_reader.STREAM
 SNAPSHOT_STREAM = _log_reader.SNAPSHOT_STREAM
 
-LARGEST_PUSH_BYTES = _spread.LARGEST_PUSH_BYTES
+MAX_PUSH_BYTES = _spread.MAX_PUSH_BYTES
 READERS_PER_DOMAIN = _follower.READERS_PER_DOMAIN
 RULE = _codec.RULE
 Accepted = _fold.Accepted
--- a/berylhollow/configuration/_changes.py
+++ b/berylhollow/configuration/_changes.py
@@ -1,4 +1,4 @@
-"""Changes to a configuration: what they hold, and applying them."""
+"""Changes to a configuration and the code that applies them."""
 
 import collections.abc
 import dataclasses
@@ -9,7 +9,7 @@
 
 
 class EntityKind(enum.IntEnum):
-    """What a delta is about; the numbers are those of the records."""
+    """The kind of entity that a delta changes, as numbered in records."""
 
     SERVICE = 1
     ADAPTER = 2
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Remove:
-    """Take back a declaration; one that is not there is a fault."""
+    """Remove a declaration; the change is invalid if there is none."""
 
     kind: EntityKind
     name: str
@@ -36,11 +36,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """One change that an operator asks for.
+    """One change of the configuration that an operator requests.
 
     It is accepted only while ``base_revision`` is in force. ``change_id`` is
-    unique for every change; ``operator`` is who asks, as it is to be shown.
-    ``whole`` replaces everything and excludes ``deltas``.
+    unique for every change; ``operator`` is the display name of the operator.
+    ``whole`` replaces the entire configuration and excludes ``deltas``.
     """
 
     base_revision: int
@@ -69,7 +69,7 @@
 ) -> tuple[Delta, ...]:
     """Return the deltas that turn a configuration into a manifest.
 
-    Services come before the adapters that name them, removals last.
+    Services come before the adapters that refer to them, removals last.
     """
     puts: list[Delta] = []
     removals: list[Delta] = []
@@ -81,19 +81,19 @@
             for entity in entities
             if present.get(entity.name) != entity
         ]
-        kept = {entity.name for entity in entities}
-        gone = sorted(name for name in present if name not in kept)
-        removals += [Remove(kind, name) for name in gone]
+        wanted_names = {entity.name for entity in entities}
+        removed = sorted(name for name in present if name not in wanted_names)
+        removals += [Remove(kind, name) for name in removed]
     return (*puts, *removals)
 
 
 def apply(
     before: _configuration.Configuration, change: Change, revision: int
 ) -> tuple[_configuration.Configuration, Faults]:
-    """Return the configuration after a change, and why it is invalid.
+    """Return the configuration after a change and the faults found.
 
-    With faults the configuration returned is the one before. Part of
-    acceptance rule 1.
+    If there are faults, ``before`` is returned unchanged. This function is
+    part of acceptance rule 1.
     """
     if change.whole is not None:
         faults = _check_whole(change)
@@ -102,19 +102,19 @@
         return _configuration.from_manifest(change.whole, revision), []
     after, faults = _apply_deltas(before, change.deltas, revision)
     if not faults:
-        faults += _check_services_of_adapters(after, change.deltas)
+        faults += _check_adapter_services(after, change.deltas)
     return (before if faults else after), faults
 
 
 def _check_whole(change: Change) -> Faults:
     if change.deltas:
-        return [manifest.Fault('change', 'has a manifest and deltas')]
+        return [manifest.Fault('change', 'holds both a manifest and deltas')]
     return manifest.check(change.whole)
 
 
 def _apply_deltas(before, deltas, revision):
     faults: Faults = []
-    maps = {
+    entities_by_kind = {
         kind: getattr(before, section).mutate()
         for kind, section in SECTIONS.items()
     }
@@ -122,30 +122,33 @@
         path = f'deltas[{index}]'
         if isinstance(delta, Put):
             faults += manifest.check_entity(delta.entity, path)
-            maps[KINDS[type(delta.entity)]][delta.entity.name] = delta.entity
-        elif delta.name in maps[delta.kind]:
-            del maps[delta.kind][delta.name]
+            entities_by_kind[KINDS[type(delta.entity)]][delta.entity.name] = (
+                delta.entity
+            )
+        elif delta.name in entities_by_kind[delta.kind]:
+            del entities_by_kind[delta.kind][delta.name]
         else:
             text = f'{delta.name!r} is not declared'
             faults.append(manifest.Fault(path, text))
     sections = {
-        section: maps[kind].finish() for kind, section in SECTIONS.items()
+        section: entities_by_kind[kind].finish()
+        for kind, section in SECTIONS.items()
     }
     after = _configuration.Configuration(revision, **sections)
     return after, faults
 
 
-def _check_services_of_adapters(
+def _check_adapter_services(
     after: _configuration.Configuration,
     deltas: collections.abc.Sequence[Delta],
 ) -> Faults:
-    """Check the adapters that a change can have parted from a service."""
-    touched = {
-        kind: {_name(delta) for delta in deltas if _kind(delta) is kind}
+    """Check the adapters whose reference to a service may have broken."""
+    changed_names = {
+        kind: {_name_of(delta) for delta in deltas if _kind_of(delta) is kind}
         for kind in (EntityKind.SERVICE, EntityKind.ADAPTER)
     }
-    names: collections.abc.Iterable[str] = touched[EntityKind.ADAPTER]
-    if touched[EntityKind.SERVICE]:
+    names: collections.abc.Iterable[str] = changed_names[EntityKind.ADAPTER]
+    if changed_names[EntityKind.SERVICE]:
         names = after.adapters
     faults: Faults = []
     for name in sorted(names):
@@ -157,9 +160,9 @@
     return faults
 
 
-def _kind(delta: Delta) -> EntityKind:
+def _kind_of(delta: Delta) -> EntityKind:
     return KINDS[type(delta.entity)] if isinstance(delta, Put) else delta.kind
 
 
-def _name(delta: Delta) -> str:
+def _name_of(delta: Delta) -> str:
     return delta.entity.name if isinstance(delta, Put) else delta.name
--- a/berylhollow/configuration/_configuration.py
+++ b/berylhollow/configuration/_configuration.py
@@ -1,4 +1,4 @@
-"""One accepted revision, with fast look-ups and cheap successors."""
+"""The configuration of one revision, as immutable maps."""
 
 import dataclasses
 
@@ -13,11 +13,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """What is declared at a revision; it never changes.
+    """The services, adapters and callers declared at a revision.
 
-    The maps are persistent: a successor shares with it all that stays the
-    same. ``revision`` is the offset after the record that was accepted, 0
-    before any.
+    It is immutable. The maps are persistent: the next revision shares all
+    unchanged entries with it. ``revision`` is the offset after the accepted
+    record, 0 before the first.
     """
 
     revision: int
@@ -27,36 +27,36 @@
 
     @property
     def has_workspaces(self) -> bool:
-        """Return False: a manifest declares none."""
+        """Return False, as a manifest declares no workspaces."""
         return False
 
     @property
     def declared_workspaces(self) -> tuple[()]:
-        """Return none: a manifest declares none."""
+        """Return an empty tuple, as a manifest declares no workspaces."""
         return ()
 
     def workspace(self, head: events.RequestHead) -> None:
-        """Return None: no request is a workspace's."""
+        """Return None, as no request belongs to a workspace."""
 
     def service(self, name: str) -> manifest.Service | None:
-        """Return a declared service, None if there is none."""
+        """Return a service, None if it is not declared."""
         return self.services.get(name)
 
     def adapter(self, name: str) -> manifest.Adapter | None:
-        """Return a declared adapter, None if there is none."""
+        """Return an adapter, None if it is not declared."""
         return self.adapters.get(name)
 
     def caller(self, name: str) -> manifest.Caller:
-        """Return a caller; one that is not declared has the defaults."""
+        """Return a caller, with default values if it is not declared."""
         return self.callers.get(name) or manifest.Caller(name)
 
     def service_of(self, adapter: str) -> str:
-        """Return the service of a declared adapter, '' if it is not."""
+        """Return the service of an adapter, '' if it is not declared."""
         declared = self.adapters.get(adapter)
         return '' if declared is None else declared.service
 
     def servable(self, wanted: messages.AdapterVersion) -> bool:
-        """Return whether this version is declared and to be served."""
+        """Return whether a version is declared and marked as servable."""
         declared = self.adapters.get(wanted.adapter)
         return declared is not None and any(
             version.servable and version.version == wanted.version
@@ -66,7 +66,7 @@
     def resolve(
         self, request: events.Request, seed: float
     ) -> following.Terms | errors.Kind:
-        """Return how to serve a request, or why it can't be served."""
+        """Return the terms of a request, or the error that rejects it."""
         kind = self.refuse(request.service, request.adapter)
         if kind is not None:
             return kind
@@ -80,28 +80,28 @@
     def acceptable(
         self, adapter: messages.AdapterVersion, at_ms: int
     ) -> tuple[messages.AdapterVersion, ...]:
-        """Return the one version that a request named."""
+        """Return the versions that may serve a request: only the named one."""
         return (adapter,)
 
     def adapter_slots(self, service: str) -> int:
-        """Return 0: sidecars know from their engines."""
+        """Return 0, as sidecars learn the number from their engines."""
         return 0
 
     def models(self, service: str) -> tuple[str, ...]:
-        """Return none: engines have their model from their start."""
+        """Return an empty tuple, as engines start with their model."""
         return ()
 
     def refuse(
         self, service: str, adapter: messages.AdapterVersion | None
     ) -> errors.Kind | None:
-        """Return why this can't be served, None if it can.
+        """Return the error that rejects a request, None if it is allowed.
 
-        An adapter's service is known, so ``service`` may be empty when one
-        is named. An engine service is not run without naming an adapter:
-        the body could name one that was never checked.
+        ``service`` may be empty if an adapter is named, as the adapter
+        determines its service. A request to an engine service must name an
+        adapter: its body could name one that was never checked.
         """
         if adapter is None:
-            return self.refuse_plain(service)
+            return self.refuse_without_adapter(service)
         declared = self.adapters.get(adapter.adapter)
         if declared is None:
             return errors.Kind.UNKNOWN_ADAPTER
@@ -111,8 +111,8 @@
             return errors.Kind.UNKNOWN_VERSION
         return None
 
-    def refuse_plain(self, service: str) -> errors.Kind | None:
-        """Return why a request without an adapter can't be served."""
+    def refuse_without_adapter(self, service: str) -> errors.Kind | None:
+        """Return the error that rejects a request without an adapter."""
         declared = self.services.get(service)
         if declared is None:
             return errors.Kind.UNKNOWN_SERVICE
@@ -121,7 +121,7 @@
         return None
 
     def manifest(self) -> manifest.Manifest:
-        """Return what is declared, each section sorted by name."""
+        """Return the manifest, each section sorted by name."""
         return manifest.Manifest(
             _sorted(self.services),
             _sorted(self.adapters),
--- a/berylhollow/configuration/_entity_codec.py
+++ b/berylhollow/configuration/_entity_codec.py
@@ -1,4 +1,4 @@
-"""Entities and deltas as CBOR arrays, checked type for type when read."""
+"""Codec of entities and deltas as CBOR arrays, with strict type checks."""
 
 import functools
 import sys
@@ -6,36 +6,36 @@
 from berylhollow.configuration import _changes
 from berylhollow import manifest
 
-LONGEST_TEXT = 256
-LARGEST_INTEGER = 2**62
-SHARED_VERSIONS = 4096
+MAX_TEXT_LENGTH = 256
+MAX_INTEGER = 2**62
+VERSIONS_CACHE_SIZE = 4096
 
 
 class MalformedRecord(ValueError):
-    """The bytes are no record of this kind, in any software version."""
+    """The data is not a valid record in any software version."""
 
 
 def encode_delta(delta: _changes.Delta) -> list:
-    """Return a removal as [-kind, name], anything else as the entity."""
+    """Encode a removal as [-kind, name] and a put as its entity."""
     if isinstance(delta, _changes.Remove):
         return [-delta.kind, delta.name]
     return encode_entity(delta.entity)
 
 
 def decode_delta(value: object) -> _changes.Delta:
-    """Return the delta of an array; raises ``MalformedRecord``."""
-    items = array(value)
+    """Decode a delta; raises ``MalformedRecord``."""
+    items = expect_array(value)
     if len(items) == 2 and type(items[0]) is int and items[0] < 0:
         try:
             kind = _changes.EntityKind(-items[0])
         except ValueError as error:
-            raise MalformedRecord('no kind of entity') from error
-        return _changes.Remove(kind, text(items[1]))
+            raise MalformedRecord('unknown kind of entity') from error
+        return _changes.Remove(kind, expect_text(items[1]))
     return _changes.Put(decode_entity(items))
 
 
 def encode_entity(entity: manifest.Entity) -> list:
-    """Return an entity as [kind, name, ...]."""
+    """Encode an entity as [kind, name, ...]."""
     kind = int(_changes.KINDS[type(entity)])
     if isinstance(entity, manifest.Adapter):
         versions = [[item.version, item.servable] for item in entity.versions]
@@ -56,99 +56,120 @@
 
 
 def decode_entity(value: object) -> manifest.Entity:
-    """Return the entity of an array; raises ``MalformedRecord``."""
-    kind, *fields = array(value) or [None]
+    """Decode an entity; raises ``MalformedRecord``."""
+    kind, *fields = expect_array(value) or [None]
     if kind == _changes.EntityKind.ADAPTER and len(fields) == 4:
         return _decode_adapter(*fields)
     if kind == _changes.EntityKind.SERVICE and len(fields) == 8:
         return _decode_service(*fields)
     if kind == _changes.EntityKind.CALLER and len(fields) == 4:
         return _decode_caller(*fields)
-    raise MalformedRecord('no kind of entity')
+    raise MalformedRecord('unknown kind of entity or number of fields')
 
 
 def _decode_adapter(name, service, priority, versions) -> manifest.Adapter:
-    pairs = tuple(tuple(array(item, 2)) for item in array(versions))
+    pairs = tuple(
+        tuple(expect_array(item, 2)) for item in expect_array(versions)
+    )
     for version, servable in pairs:
-        text(version)
-        typed(servable, bool)
+        expect_text(version)
+        expect_type(servable, bool)
     return manifest.Adapter(
-        text(name),
-        sys.intern(text(service)),
-        integer(priority),
-        _versions(pairs),
+        expect_text(name),
+        sys.intern(expect_text(service)),
+        expect_integer(priority),
+        _shared_versions(pairs),
     )
 
 
-@functools.lru_cache(SHARED_VERSIONS)
-def _versions(pairs: tuple) -> tuple[manifest.Version, ...]:
-    """Return the versions; adapters with the same ones share the object.
+@functools.lru_cache(VERSIONS_CACHE_SIZE)
+def _shared_versions(pairs: tuple) -> tuple[manifest.Version, ...]:
+    """Return the versions, as one tuple for all adapters with equal ones.
 
-    Most adapters have few versions with common names: sharing them halves
+    Most adapters have few versions with common names, so that sharing halves
     the memory that an adapter takes.
     """
     return tuple(manifest.Version(*pair) for pair in pairs)
 
 
 def _decode_service(
-    name, kind, base_model, checks_fencing, stall, efficiency, in_flight, rate
+    name,
+    kind,
+    base_model,
+    checks_fencing,
+    load_stall_weight,
+    batch_efficiency_weight,
+    in_flight,
+    rate,
 ) -> manifest.Service:
     try:
-        service_kind = manifest.ServiceKind(text(kind))
+        service_kind = manifest.ServiceKind(expect_text(kind))
     except ValueError as error:
-        raise MalformedRecord('no kind of service') from error
+        raise MalformedRecord('unknown kind of service') from error
     return manifest.Service(
-        text(name),
+        expect_text(name),
         service_kind,
-        text(base_model),
-        typed(checks_fencing, bool),
-        typed(stall, float),
-        typed(efficiency, float),
+        expect_text(base_model),
+        expect_type(checks_fencing, bool),
+        expect_type(load_stall_weight, float),
+        expect_type(batch_efficiency_weight, float),
         _decode_limits(in_flight, rate),
     )
 
 
 def _decode_caller(name, weight, in_flight, rate) -> manifest.Caller:
     limits = _decode_limits(in_flight, rate)
-    return manifest.Caller(text(name), typed(weight, float), limits)
+    return manifest.Caller(
+        expect_text(name), expect_type(weight, float), limits
+    )
 
 
 def _decode_limits(in_flight, rate) -> manifest.Limits:
     if in_flight is not None:
-        integer(in_flight)
+        expect_integer(in_flight)
     if rate is not None:
-        typed(rate, float)
+        expect_type(rate, float)
     return manifest.Limits(in_flight, rate)
 
 
-def array(value: object, count: int | None = None) -> list:
-    """Return an array, of ``count`` items if that is given."""
-    items = typed(value, list)
+def expect_array(value: object, count: int | None = None) -> list:
+    """Return ``value`` if it is an array, of ``count`` items if given."""
+    items = expect_type(value, list)
     if count is not None and len(items) != count:
-        raise MalformedRecord('an array of another length')
+        raise MalformedRecord(
+            f'an array of {len(items)} items, expected {count}'
+        )
     return items
 
 
-def text(value: object) -> str:
-    """Return a text of bounded length."""
-    if len(typed(value, str)) > LONGEST_TEXT:
-        raise MalformedRecord('a text is too long')
+def expect_text(value: object) -> str:
+    """Return ``value`` if it is a text of bounded length."""
+    if len(expect_type(value, str)) > MAX_TEXT_LENGTH:
+        raise MalformedRecord(
+            f'a text is longer than {MAX_TEXT_LENGTH} characters'
+        )
     return value
 
 
-def integer(value: object) -> int:
-    """Return an integer that any software can hold, and print."""
-    if abs(typed(value, int)) > LARGEST_INTEGER:
-        raise MalformedRecord('an integer out of range')
+def expect_integer(value: object) -> int:
+    """Return ``value`` if it is an integer of bounded size.
+
+    Python refuses to print integers of thousands of digits, and other
+    software may not be able to hold them.
+    """
+    if abs(expect_type(value, int)) > MAX_INTEGER:
+        raise MalformedRecord('an integer is out of range')
     return value
 
 
-def typed(value, wanted: type):
-    """Return a value of exactly this type.
+def expect_type(value, wanted: type):
+    """Return ``value`` if it has exactly the wanted type.
 
-    Not of a subclass: True would pass for 1, and mean another thing to
-    software that checks less.
+    Subclasses are rejected: otherwise True would be accepted as the integer
+    1, and software with weaker checks could read it differently.
     """
     if type(value) is not wanted:
-        raise MalformedRecord(f'a {wanted.__name__} is expected')
+        raise MalformedRecord(
+            f'expected {wanted.__name__}, got {type(value).__name__}'
+        )
     return value
--- a/berylhollow/configuration/_fold.py
+++ b/berylhollow/configuration/_fold.py
@@ -1,4 +1,4 @@
-"""Acceptance: a pure function of the prefix of the configuration stream."""
+"""Decides which changes of the configuration stream are accepted."""
 
 import dataclasses
 import enum
@@ -15,7 +15,7 @@
 
 
 class Outcome(enum.Enum):
-    """What becomes of a record."""
+    """The result of evaluating a record."""
 
     ACCEPTED = 'accepted'
     CONFLICT = 'conflict'
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """The last change that was accepted; revision 0 is none."""
+    """The last accepted change; revision 0 means none."""
 
     revision: int = 0
     operator: str = ''
@@ -35,10 +35,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What becomes of one record, the same in every process.
+    """The outcome of one record, the same in every process.
 
-    ``won`` is, of a conflict, the change that came first. ``change`` is None
-    for a record that holds none that this software can read.
+    In a conflict, ``won`` is the accepted change that this one lost to.
+    ``change`` is None if this software can't decode the record.
     """
 
     outcome: Outcome
@@ -50,10 +50,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class State:
-    """What the records before ``next_offset`` add up to.
+    """The result of all records before ``next_offset``.
 
-    ``digest`` is chained over the accepted records, so that two processes
-    can compare all that they accepted by comparing it.
+    ``digest`` is a hash chain over the accepted records: two processes with
+    equal digests have accepted the same changes.
     """
 
     configuration: _configuration.Configuration = _configuration.EMPTY
@@ -62,7 +62,7 @@
     last: Accepted = Accepted()
 
     def snapshot(self) -> bytes:
-        """Return the state as a record of the snapshots stream."""
+        """Encode the state as a record of the snapshots stream."""
         return _codec.encode_snapshot(
             _codec.Snapshot(
                 self.next_offset,
@@ -79,13 +79,15 @@
 
 
 def from_snapshot(data: bytes) -> State:
-    """Return the state of a snapshot record.
+    """Decode a snapshot record into a state.
 
-    Raises ``MalformedRecord`` and ``UnknownRule``.
+    Raises ``MalformedRecord`` or ``UnknownRule``.
     """
     snapshot = _codec.decode_snapshot(data)
     if snapshot.revision > snapshot.next_offset:
-        raise _entity_codec.MalformedRecord('a revision that is yet to come')
+        raise _entity_codec.MalformedRecord(
+            f'revision {snapshot.revision} is after the snapshot'
+        )
     return State(
         _configuration.from_manifest(snapshot.declared, snapshot.revision),
         snapshot.next_offset,
@@ -97,20 +99,22 @@
 def fold(state: State, entry: messages.LogEntry) -> tuple[State, Verdict]:
     """Return the state after the next record of the stream, and its verdict.
 
-    A change is accepted iff the revision that it is based on is in force at
-    its offset and its result is valid; of racing changes the first by offset
-    wins. ``ValueError`` if the entry is not the next one.
+    A change is accepted if its base revision is in force at its offset and
+    the result is valid. Of concurrent changes, the one with the lowest offset
+    is accepted. Raises ``ValueError`` if the entry is not the next one.
 
-    A record of an unknown rule is not passed: the state stays before it.
-    Guards against two software versions that disagree. Were the record
-    skipped, the old version would take the next change for based on the
-    right revision or not, against what the new one says, and serve from then
-    on a configuration that nobody published. Staying keeps it on a revision
-    that was accepted, late but true, and it says so.
+    A record with an unknown rule is not skipped: the state stays before it.
+    This guards against software versions that disagree. If the old version
+    skipped the record, it could accept or reject the next changes where the
+    new version does the opposite, and would then serve a configuration that
+    nobody published. By stopping it stays on an accepted revision, which may
+    be outdated, and its status reports that.
     """
     if entry.offset != state.next_offset:
-        raise ValueError(f'{entry.offset} does not follow the state')
-    passed = dataclasses.replace(state, next_offset=entry.offset + 1)
+        raise ValueError(
+            f'offset {entry.offset} is not the next: {state.next_offset}'
+        )
+    skipped = dataclasses.replace(state, next_offset=entry.offset + 1)
     try:
         change = _codec.decode_change(entry.data)
     except _codec.UnknownRule as error:
@@ -121,32 +125,32 @@
     except _entity_codec.MalformedRecord as error:
         fault = manifest.Fault('record', str(error))
         verdict = Verdict(Outcome.NO_RECORD, entry.offset, faults=(fault,))
-        return passed, verdict
+        return skipped, verdict
     if change.base_revision != state.configuration.revision:
-        return passed, Verdict(
+        return skipped, Verdict(
             Outcome.CONFLICT, entry.offset, change, state.last
         )
-    return _judge(passed, entry, change)
+    return _apply_change(skipped, entry, change)
 
 
-def _judge(
-    passed: State, entry: messages.LogEntry, change: _changes.Change
+def _apply_change(
+    skipped: State, entry: messages.LogEntry, change: _changes.Change
 ) -> tuple[State, Verdict]:
     revision = entry.offset + 1
-    after, faults = _changes.apply(passed.configuration, change, revision)
+    after, faults = _changes.apply(skipped.configuration, change, revision)
     if faults:
-        return passed, Verdict(
+        return skipped, Verdict(
             Outcome.INVALID, entry.offset, change, faults=tuple(faults)
         )
     accepted = State(
         after,
         revision,
-        _chain(passed.digest, entry),
+        _chain_digest(skipped.digest, entry),
         Accepted(revision, change.operator, change.change_id),
     )
     return accepted, Verdict(Outcome.ACCEPTED, entry.offset, change)
 
 
-def _chain(digest: bytes, entry: messages.LogEntry) -> bytes:
+def _chain_digest(digest: bytes, entry: messages.LogEntry) -> bytes:
     offset = entry.offset.to_bytes(OFFSET_BYTES, 'big')
     return hashlib.sha256(digest + offset + entry.data).digest()
--- a/berylhollow/configuration/_follower.py
+++ b/berylhollow/configuration/_follower.py
@@ -1,4 +1,4 @@
-"""Following the configuration: inside the reducers of both roles."""
+"""Follows the configuration, in gateways and sidecars."""
 
 import collections.abc
 
@@ -17,8 +17,9 @@
 
 READERS_PER_DOMAIN = 2
 READER_TASK = 'readers'
-# How long a gateway that is not chosen to read the log does without news of
-# its end, how long a sidecar does without a word of any peer.
+# A gateway that is not chosen to read the log reads it after this time
+# without news of the log's end, a sidecar after this time without a message
+# from any peer.
 GATEWAY_PATIENCE_MS = 4000
 GATEWAY_JITTER_MS = 3000
 SIDECAR_PATIENCE_MS = 20_000
@@ -31,10 +32,11 @@
 
 
 class Follower:
-    """Keeps ``current`` at the newest accepted revision; a pure machine.
+    """A state machine that keeps ``current`` at the newest revision.
 
-    It never serves an older revision than any it has served, and none at
-    all before it knows what the log or its peers have.
+    It performs no I/O but returns effects. The revision served never goes
+    back, and none is served until the newest revision is known from the log
+    or from peers.
     """
 
     def __init__(
@@ -45,25 +47,25 @@
         self.failure_domain = failure_domain
         self.history = _history.History()
         self.reader = _log_reader.LogReader(self.history, instance)
-        self.spread = _spread.Spread(instance, role, self.history)
+        self.propagator = _spread.Propagator(instance, role, self.history)
         self.writer = _snapshot_writer.SnapshotWriter(instance, self.history)
         self.current: _configuration.Configuration | None = None
         self.domains: dict[str, str] = {}
         self.roles: dict[str, events.Role] = {}
         self.gateways: list[str] = []
         self.linked: list[str] = []
-        self.chosen = False
+        self.is_reader = False
         self.started_ms = 0
 
     def start(self, at_ms: int) -> Effects:
-        """Begin to read; a sidecar first waits for a gateway's word."""
+        """Start reading; a sidecar first waits for a gateway's message."""
         self.started_ms = at_ms
         if self.role is events.Role.GATEWAY:
             return self.reader.read(at_ms)
         return []
 
     def handle(self, event: events.Event) -> Effects:
-        """Take in what concerns the configuration; ignore the rest."""
+        """Handle events that concern the configuration; ignore the rest."""
         before = self.history.state.next_offset
         source = ''
         done: Effects = []
@@ -74,19 +76,21 @@
                 source = event.peer
                 done = self.receive(event)
             case events.LinkOpened():
-                done = self.open(event)
+                done = self.open_link(event)
             case events.LinkClosed():
-                self.spread.closed(event.peer)
+                self.propagator.link_closed(event.peer)
             case events.InstancesListed():
-                self.listed(event)
+                self.update_domains(event)
             case events.AppendFailed():
                 self.writer.handle(event)
             case _:
                 return []
         if self.reader.caught_up_ms is not None:
-            self.spread.seen_end(self.reader.caught_up_ms)
+            self.propagator.record_log_end(self.reader.caught_up_ms)
         if self.history.state.next_offset > before:
-            done += self.spread.pass_on(before, source, event.at_ms)
+            done += self.propagator.push_new_entries(
+                before, source, event.at_ms
+            )
         self.advance(event.at_ms)
         return done
 
@@ -94,11 +98,13 @@
         message = event.message
         match message:
             case messages.ConfigurationAt():
-                return self.spread.at(event.peer, message, event.at_ms)
+                return self.propagator.handle_position(
+                    event.peer, message, event.at_ms
+                )
             case messages.ConfigurationEntries():
                 return self.receive_entries(event, message)
             case messages.ConfigurationSnapshot():
-                self.spread.hear(event.at_ms)
+                self.propagator.record_message(event.at_ms)
                 self.history.install(message.data)
             case messages.Offer():
                 return self.receive_offer(event, message)
@@ -109,33 +115,33 @@
         event: events.MessageReceived,
         message: messages.ConfigurationEntries,
     ) -> Effects:
-        self.spread.hear(event.at_ms)
+        self.propagator.record_message(event.at_ms)
         self.history.add(message.entries)
         if message.next_offset > self.history.state.next_offset:
-            # A gap: what came before was sent on a link that broke.
-            return self.spread.ask(event.peer, event.at_ms)
+            # A gap: earlier entries were lost with a broken link.
+            return self.propagator.request_entries(event.peer, event.at_ms)
         return []
 
     def receive_offer(
         self, event: events.MessageReceived, message: messages.Offer
     ) -> Effects:
-        """Ask a gateway whose request is based on a newer revision."""
+        """Request entries if an offer was made under a newer revision."""
         if message.revision <= self.history.state.configuration.revision:
             return []
-        return self.spread.ask(event.peer, event.at_ms)
+        return self.propagator.request_entries(event.peer, event.at_ms)
 
-    def open(self, event: events.LinkOpened) -> Effects:
+    def open_link(self, event: events.LinkOpened) -> Effects:
         self.roles[event.peer] = event.role
-        return self.spread.opened(event.peer, event.role, event.at_ms)
+        return self.propagator.link_opened(event.peer, event.role, event.at_ms)
 
-    def listed(self, event: events.InstancesListed) -> None:
-        """Keep the failure domains of the gateways."""
+    def update_domains(self, event: events.InstancesListed) -> None:
+        """Update the failure domains of the gateways."""
         self.domains = {
             row.instance: row.failure_domain
             for row in event.instances
             if row.role is events.Role.GATEWAY and not row.leaving
         }
-        self.choose_reader()
+        self.update_is_reader()
 
     def tick(
         self,
@@ -144,39 +150,39 @@
         peers: collections.abc.Iterable[str],
         self_id: str = '',
     ) -> Effects:
-        """Ask for what is missing and pass on what others miss.
+        """Return the effects that are due.
 
-        ``live_gateways`` are those that take work, ``peers`` those that a
-        link is open to. ``self_id`` is not used: the name is known.
+        ``live_gateways`` are those that accept work, ``peers`` the processes
+        with an open link. ``self_id`` is unused, as ``instance`` is set.
         """
-        done = self.meet(at_ms, list(live_gateways), list(peers))
+        done = self.update_peers(at_ms, list(live_gateways), list(peers))
         done += self.read_log(at_ms)
-        done += self.spread.tick(at_ms)
+        done += self.propagator.tick(at_ms)
         done += self.writer.tick(at_ms)
         self.advance(at_ms)
         return done
 
-    def meet(
+    def update_peers(
         self, at_ms: int, gateways: list[str], linked: list[str]
     ) -> Effects:
-        """Take over who is live and linked, if that has changed."""
+        """Update the live gateways and the linked peers if they changed."""
         if gateways == self.gateways and linked == self.linked:
             return []
         changed = gateways != self.gateways
         self.gateways = gateways
         self.linked = linked
         done: Effects = []
-        for peer in set(self.spread.peers) - set(linked):
-            self.spread.closed(peer)
+        for peer in set(self.propagator.peers) - set(linked):
+            self.propagator.link_closed(peer)
         for peer in linked:
-            if peer not in self.spread.peers:
+            if peer not in self.propagator.peers:
                 role = self.role_of(peer)
-                done += self.spread.opened(peer, role, at_ms)
+                done += self.propagator.link_opened(peer, role, at_ms)
         if changed:
-            self.choose_reader()
-            self.spread.choose_targets(gateways)
+            self.update_is_reader()
+            self.propagator.choose_targets(gateways)
             if self.role is events.Role.GATEWAY:
-                self.writer.choose(gateways, at_ms)
+                self.writer.update_gateways(gateways, at_ms)
         return done
 
     def role_of(self, peer: str) -> events.Role:
@@ -187,110 +193,114 @@
     # Reading the log.
 
     def read_log(self, at_ms: int) -> Effects:
-        """Read the log if we are chosen to, or if nobody else seems to."""
-        self.reader.follow = self.chosen
-        waiting = self.chosen or self.current is None
-        self.reader.longest_pause_ms = (
-            _log_reader.LONGEST_PAUSE_MS if waiting else IDLE_PAUSE_MS
+        """Read the log if chosen to, or if no other process seems to."""
+        self.reader.follow = self.is_reader
+        is_urgent = self.is_reader or self.current is None
+        self.reader.max_pause_ms = (
+            _log_reader.LONGEST_PAUSE_MS if is_urgent else IDLE_PAUSE_MS
         )
-        if not self.chosen and self.left_alone(at_ms):
+        if not self.is_reader and self.should_read_log(at_ms):
             self.reader.wanted = True
         return self.reader.tick(at_ms)
 
-    def choose_reader(self) -> None:
-        """Settle whether we are among the readers of our failure domain."""
-        own = [
+    def update_is_reader(self) -> None:
+        """Update whether this gateway is a reader of its failure domain."""
+        domain_gateways = [
             name
             for name in self.gateways
             if self.domains.get(name, '') == self.failure_domain
         ]
-        self.chosen = (
+        self.is_reader = (
             self.role is events.Role.GATEWAY
             and self.instance
             in _ranking.chosen(
-                READER_TASK, own or self.gateways, READERS_PER_DOMAIN
+                READER_TASK,
+                domain_gateways or self.gateways,
+                READERS_PER_DOMAIN,
             )
         )
 
-    def left_alone(self, at_ms: int) -> bool:
-        """Return whether to read the log ourselves, though not chosen.
+    def should_read_log(self, at_ms: int) -> bool:
+        """Return whether to read the log without being a chosen reader.
 
-        Guards against chosen readers that are gone or cut off while the list
-        still shows them, and against lists so different that nobody is
-        chosen. It would show as a process that stays on an old revision.
-        The times differ by name, so that an outage, in which all are left
-        alone, does not end in all of them reading at once.
+        Guards against chosen readers that are dead or cut off while they are
+        still listed, and against lists that differ so much that no process is
+        chosen. Without this a process would stay on an old revision. The
+        timeout differs by instance, so that in an outage, when no process
+        receives news, they do not all read the log at once.
         """
-        share = _ranking.share(READER_TASK, self.instance)
+        fraction = _ranking.fraction_of(READER_TASK, self.instance)
         if self.role is events.Role.GATEWAY:
-            since_ms = self.spread.as_of_ms
-            patience_ms = GATEWAY_PATIENCE_MS + GATEWAY_JITTER_MS * share
+            since_ms = self.propagator.as_of_ms
+            patience_ms = GATEWAY_PATIENCE_MS + GATEWAY_JITTER_MS * fraction
         elif self.current is None:
             since_ms = None
             patience_ms = SIDECAR_START_MS
         else:
-            since_ms = max(self.spread.heard_ms, self.spread.as_of_ms or 0)
-            patience_ms = SIDECAR_PATIENCE_MS + SIDECAR_JITTER_MS * share
+            since_ms = max(
+                self.propagator.last_message_ms, self.propagator.as_of_ms or 0
+            )
+            patience_ms = SIDECAR_PATIENCE_MS + SIDECAR_JITTER_MS * fraction
         since_ms = self.started_ms if since_ms is None else since_ms
         return at_ms - since_ms >= patience_ms
 
-    # What is served.
+    # The revision served.
 
     def advance(self, at_ms: int) -> None:
-        """Serve the newest revision, once it is known to be that.
+        """Serve the newest revision once it is known to be the newest.
 
-        Guards against a revert: a process that served an older revision than
-        before would show a removed version as servable again. The fold only
-        goes forward, by offsets, so this never holds in practice; it is
-        checked where it is served all the same, for a fault elsewhere must
-        not become a revert here.
+        Guards against a revert: after a step back to an older revision, a
+        removed version would be servable again. The fold only advances, so
+        this does not happen normally. It is checked here as well, so that a
+        defect elsewhere can't cause a revert.
         """
-        found = self.history.state.configuration
-        served = 0 if self.current is None else self.current.revision
-        if found.revision <= served:
+        newest = self.history.state.configuration
+        served_revision = 0 if self.current is None else self.current.revision
+        if newest.revision <= served_revision:
             return
         if self.current is not None or self.knows_newest(at_ms):
-            self.current = found
+            self.current = newest
 
     def knows_newest(self, at_ms: int) -> bool:
         """Return whether a process that just started may begin to serve.
 
-        Guards against a restart that reverts: a new process that serves the
-        first snapshot it finds would answer by an older revision than the
-        one it replaces. So it waits until it has seen the end of the log. Or
-        its peers' word counts, if they saw the end lately or the log can't
-        be read: it waits until all of them have had time to speak, and until
-        it has what the furthest one told of.
+        Guards against a revert by a restart: a new process that serves the
+        first snapshot it finds could serve an older revision than the process
+        it replaces. So it waits until it has reached the end of the log.
+        Instead it may rely on its peers if they reached the end recently or
+        if the log can't be read. Then it waits until all peers have had time
+        to report and, for at most ``PEERS_WAIT_MS``, until it has all entries
+        that any of them reported.
         """
         if self.reader.caught_up_ms is not None:
             return True
-        first_ms = self.spread.first_told_ms
-        if first_ms is None:
+        first_report_ms = self.propagator.first_report_ms
+        if first_report_ms is None:
             return False
-        fresh = 0 <= self.spread.age_ms(at_ms) <= FRESH_MS
-        if not fresh and not self.reader.failed:
+        is_fresh = 0 <= self.propagator.age_ms(at_ms) <= FRESH_MS
+        if not is_fresh and not self.reader.last_read_failed:
             return False
-        wait_ms = PEERS_WAIT_MS if self.spread.ahead else PEERS_GRACE_MS
-        return at_ms - first_ms >= wait_ms
+        wait_ms = PEERS_WAIT_MS if self.propagator.ahead else PEERS_GRACE_MS
+        return at_ms - first_report_ms >= wait_ms
 
     def keys_hold(self, at_ms: int) -> bool:
-        """Return True: a manifest declares no keys."""
+        """Return True, as a manifest declares no keys."""
         return True
 
     def keys_age_ms(self, at_ms: int) -> int:
-        """Return 0: there are no keys to be proven."""
+        """Return 0, as a manifest declares no keys."""
         return 0
 
     def status(self, at_ms: int) -> following.Status:
-        """Return how far we are, for operators."""
+        """Return the status that is shown to operators."""
         state = self.history.state
         return following.Status(
             0 if self.current is None else self.current.revision,
             state.next_offset,
             state.digest.hex(),
-            self.spread.age_ms(at_ms),
-            self.chosen,
+            self.propagator.age_ms(at_ms),
+            self.is_reader,
             self.history.stopped,
             self.reader.gap,
-            self.spread.gateways(at_ms),
+            self.propagator.gateway_statuses(at_ms),
         )
--- a/berylhollow/configuration/_history.py
+++ b/berylhollow/configuration/_history.py
@@ -1,4 +1,4 @@
-"""What a process has read of the configuration stream."""
+"""The records that a process has read from the configuration stream."""
 
 import collections
 import collections.abc
@@ -16,12 +16,12 @@
 
 
 class History:
-    """The fold over what was read, and the end of the stream itself.
+    """The state folded from the records read, and the most recent records.
 
-    ``recent`` holds the last entries as they were read, without gaps, for
-    peers that lag. ``stopped`` is why the fold had to stop before the next
-    record, '' if it did not. A snapshot that reaches further
-    than ``reach`` is not taken over.
+    ``recent`` holds the last entries in order and without gaps, for peers
+    that lag. ``stopped`` is the reason why the fold stopped before the next
+    record, '' if it did not. A snapshot with a ``next_offset`` greater than
+    ``reach`` is not installed. ``packed`` caches the encoded state.
     """
 
     def __init__(self, kept_verdicts: int = KEPT_VERDICTS):
@@ -38,50 +38,55 @@
     def add(
         self, entries: collections.abc.Iterable[messages.LogEntry]
     ) -> tuple[messages.LogEntry, ...]:
-        """Fold the entries that are new; return them.
+        """Fold the new entries and return them.
 
-        Entries that were read before are passed over, whoever sends them and
-        however late; those behind a gap are left for another reading.
+        Entries that were folded before are ignored, so that duplicates and
+        late messages have no effect. Entries after a gap are ignored too and
+        have to be read again.
         """
         added = []
         for entry in entries:
-            if entry.offset == self.state.next_offset and self.fold(entry):
+            if entry.offset == self.state.next_offset and self.add_next(entry):
                 added.append(entry)
         return tuple(added)
 
-    def fold(self, entry: messages.LogEntry) -> bool:
-        """Fold the next entry; return whether it could be judged."""
+    def add_next(self, entry: messages.LogEntry) -> bool:
+        """Fold the next entry; return whether the fold got past it."""
         if self.stopped:
             return False
-        verdict = self.judge(entry)
+        verdict = self.fold_guarded(entry)
         if self.stopped:
             return False
         self.packed = None
         self.verdicts.append(verdict)
-        self.keep(entry)
+        self.retain(entry)
         return True
 
-    def judge(self, entry: messages.LogEntry) -> _fold.Verdict | None:
-        """Fold the next entry, or note why that can't be done.
+    def fold_guarded(self, entry: messages.LogEntry) -> _fold.Verdict | None:
+        """Fold the next entry; on failure set ``stopped`` instead.
 
-        Guards against a record that a defect of ours can't take. Raising
-        would end every process that reads it, and again as soon as each is
-        started anew. Passing it would leave open what another software
-        version makes of it. So the process stays before it, goes on serving
-        and says so.
+        Guards against a record that triggers a defect in this software. An
+        exception would end every process that reads the record, again after
+        each restart. If the record were skipped, another software version
+        could evaluate it differently. So the process stops before the record,
+        continues to serve and reports the reason in its status.
         """
         try:
             self.state, verdict = _fold.fold(self.state, entry)
         except Exception:
-            LOG.exception('a defect in judging the change at %d', entry.offset)
-            self.stopped = f'a defect in judging offset {entry.offset}'
+            LOG.exception(
+                'folding the change at offset %d failed', entry.offset
+            )
+            self.stopped = (
+                f'folding the change at offset {entry.offset} failed'
+            )
             return None
         if verdict.outcome is _fold.Outcome.UNKNOWN_RULE:
             self.stopped = '; '.join(map(str, verdict.faults))
         return verdict
 
-    def keep(self, entry: messages.LogEntry) -> None:
-        """Keep an entry for peers, within bounds."""
+    def retain(self, entry: messages.LogEntry) -> None:
+        """Keep an entry for peers that lag and drop the oldest ones."""
         self.recent.append(entry)
         self.recent_bytes += len(entry.data)
         while self.recent and (
@@ -90,22 +95,23 @@
             self.recent_bytes -= len(self.recent.popleft().data)
 
     def install(self, data: bytes) -> bool:
-        """Take over a snapshot if it reaches further; return whether it did.
-
-        Guards against a revert. A snapshot may have been written late, by a
-        process that was paused or by two at once, or come from a peer that
-        lags; taken over, it would bring back a configuration that was
-        replaced. All that is known before an offset follows from the log
-        alone, so the one that reaches further holds all of the other.
+        """Install a snapshot if it is newer; return whether it was installed.
+
+        Guards against a revert to an older revision. A snapshot may be out of
+        date because its writer was paused, because two processes wrote at
+        once, or because the peer that sent it lags. Installing it would
+        restore a configuration that was replaced. The state at an offset
+        depends on the log alone, so the snapshot with the higher offset
+        includes everything in the other.
         """
         try:
-            if not self.wants(_codec.reach_of(data)):
+            if not self.should_install(_codec.read_next_offset(data)):
                 return False
             state = _fold.from_snapshot(data)
         except (_entity_codec.MalformedRecord, _codec.UnknownRule):
             return False
         except Exception:
-            LOG.exception('a defect in reading a snapshot')
+            LOG.exception('reading a snapshot failed')
             return False
         self.state = state
         self.stopped = ''
@@ -114,14 +120,14 @@
         self.recent_bytes = 0
         return True
 
-    def wants(self, next_offset: int) -> bool:
-        """Return whether a snapshot that reaches so far is to be taken."""
+    def should_install(self, next_offset: int) -> bool:
+        """Return whether a snapshot with this next offset is needed."""
         if self.reach is not None and next_offset > self.reach:
             return False
         return next_offset > self.state.next_offset
 
     def snapshot(self) -> bytes:
-        """Return the state as a record; kept until the state changes."""
+        """Return the encoded state, cached until the state changes."""
         if self.packed is None:
             self.packed = self.state.snapshot()
         return self.packed
@@ -129,7 +135,7 @@
     def entries_from(
         self, offset: int
     ) -> tuple[messages.LogEntry, ...] | None:
-        """Return what follows an offset, None if it is no longer kept."""
+        """Return the entries from an offset on, None if some were dropped."""
         first = self.state.next_offset - len(self.recent)
         if not first <= offset <= self.state.next_offset:
             return None
--- a/berylhollow/configuration/_snapshot_writer.py
+++ b/berylhollow/configuration/_snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Writing snapshots, long before the log cuts off what they stand for."""
+"""Writes snapshots before the log drops the records they include."""
 
 from berylhollow.configuration import _history
 from berylhollow.configuration import _log_reader
@@ -6,61 +6,61 @@
 from berylhollow import effects
 from berylhollow import events
 
-WRITERS = 2
-TASK = 'snapshots'
+WRITER_COUNT = 2
+WRITER_TASK = 'snapshots'
 INTERVAL_MS = 10 * 60 * 1000
 FIRST_AFTER_MS = 60 * 1000
 RETRY_MS = 15 * 1000
 
 
 class SnapshotWriter:
-    """Writes while this process is among the chosen gateways.
+    """Writes snapshots while this process is one of the chosen gateways.
 
-    Each chosen one writes at its own times and looks at no other's: two a
-    time cost little, and a chosen one that can't reach the log must not keep
-    the others from writing. A snapshot that is written late or twice is
-    harmless, see ``History.install``. One is written also when nothing
-    changes, for snapshots are cut off by the log like all else.
+    The chosen gateways write independently: two snapshots per interval cost
+    little, and a gateway that can't reach the log must not keep the other
+    from writing. A snapshot that is written late or twice is harmless, see
+    ``History.install``. Snapshots are written even if nothing has changed,
+    as the log drops old snapshots like any other records.
     """
 
     def __init__(self, instance: str, history: _history.History):
         self.instance = instance
         self.history = history
         self.due_ms: int | None = None
-        self.appending = ''
-        self.count = 0
+        self.append_id = ''
+        self.append_count = 0
 
-    def choose(self, gateways: list[str], at_ms: int) -> None:
-        """Begin or stop to write, as the list of live gateways has it."""
-        chosen = _ranking.chosen(TASK, gateways, WRITERS)
+    def update_gateways(self, gateways: list[str], at_ms: int) -> None:
+        """Start or stop writing according to the list of live gateways."""
+        chosen = _ranking.chosen(WRITER_TASK, gateways, WRITER_COUNT)
         if self.instance not in chosen:
             self.due_ms = None
         elif self.due_ms is None:
-            share = _ranking.share(TASK, self.instance)
-            self.due_ms = at_ms + int(FIRST_AFTER_MS * (1 + share))
+            fraction = _ranking.fraction_of(WRITER_TASK, self.instance)
+            self.due_ms = at_ms + int(FIRST_AFTER_MS * (1 + fraction))
 
     def tick(self, at_ms: int) -> list[effects.Effect]:
-        """Write if it is due and something has been accepted."""
+        """Write a snapshot if one is due and a change has been accepted."""
         if self.due_ms is None or at_ms < self.due_ms:
             return []
         if self.history.state.configuration.revision == 0:
             return []
         self.due_ms = at_ms + INTERVAL_MS
-        self.count += 1
-        self.appending = f'snapshot-{self.count}'
+        self.append_count += 1
+        self.append_id = f'snapshot-{self.append_count}'
         return [
             effects.Append(
                 _log_reader.SNAPSHOT_STREAM,
-                self.appending,
+                self.append_id,
                 self.history.snapshot(),
             )
         ]
 
     def handle(self, event: events.Event) -> None:
-        """Try again soon if an append brought no answer."""
+        """Write again after ``RETRY_MS`` if the append failed."""
         if (
             isinstance(event, events.AppendFailed)
-            and event.append_id == self.appending
+            and event.append_id == self.append_id
             and self.due_ms is not None
         ):
             self.due_ms = min(self.due_ms, event.at_ms + RETRY_MS)
--- a/berylhollow/configuration/_spread.py
+++ b/berylhollow/configuration/_spread.py
@@ -1,9 +1,10 @@
-"""Passing the configuration on over the links between processes.
+"""Propagates the configuration over the links between processes.
 
-What is new is pushed: by a gateway to the gateways that it is linked with
-and to the sidecars that it feeds. A push can be lost with its link, so both
-ends tell how far they are when a link opens, and gateways tell it now and
-then; whoever is behind asks. Doubled and late messages change nothing.
+A gateway pushes new entries to some of the gateways that it is linked with
+and to the sidecars that it feeds. A push can be lost when its link breaks.
+Therefore both ends report their position when a link opens, gateways report
+it again at intervals, and a process that is behind requests the missing
+entries. Duplicate and late messages have no effect.
 """
 
 import collections.abc
@@ -18,41 +19,43 @@
 
 Effects = list[effects.Effect]
 
-FEEDERS = 2
-PLACED_A_TICK = 200
+FEEDERS_PER_SIDECAR = 2
+SIDECARS_ASSIGNED_PER_TICK = 200
 MOST_GATEWAY_TARGETS = 8
-# Larger entries are offered, and sent only to those who ask: each gateway
-# has several neighbours who would all send them.
-LARGEST_PUSH_BYTES = 4096
+# Larger entries are only announced, and sent on request. Otherwise a gateway
+# would receive them from each of the several gateways linked with it.
+MAX_PUSH_BYTES = 4096
 ASK_PAUSE_MS = 500
 TELL_GATEWAYS_MS = 1000
 TELL_SIDECARS_MS = 4000
 ASK_AFTER_MS = 5000
 SNAPSHOT_PAUSE_MS = 1000
-LONG_AGO_MS = -(10**9)
+NEVER_MS = -(10**9)
 
 
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """A linked process and the offset up to which it has read, if known.
+    """The last reported position of a linked process.
 
-    ``revision`` is the one that it last told of, -1 if it never did.
+    ``known_offset`` is the offset up to which it has read, as far as known.
+    ``revision`` is the one that it last reported. Both are -1 if unknown.
     """
 
     role: events.Role
-    known: int = -1
+    known_offset: int = -1
     revision: int = -1
-    told_ms: int = LONG_AGO_MS
-    snapshot_ms: int = LONG_AGO_MS
+    reported_ms: int = NEVER_MS
+    snapshot_sent_ms: int = NEVER_MS
 
 
-class Spread:
-    """What a process knows of its peers' reading; a pure machine.
+class Propagator:
+    """A state machine that exchanges log entries with linked processes.
 
-    ``as_of_ms`` is the latest time at which the log is known to have held
-    no more than we have read, None if none is known. ``ahead`` are peers
-    that told of more. ``first_told_ms`` is when the first peer told
-    anything, ``heard_ms`` when the last one did.
+    It performs no I/O but returns effects. ``as_of_ms`` is the latest time at
+    which this process is known to have read the log to its end, None if
+    unknown. ``ahead`` maps the peers that have read further to their offsets.
+    ``first_report_ms`` and ``last_message_ms`` are the times of the first and
+    the last message from any peer.
     """
 
     def __init__(
@@ -63,74 +66,76 @@
         self.history = history
         self.peers: dict[str, Peer] = {}
         self.gateway_targets: tuple[str, ...] = ()
-        # The sidecars to feed, as an ordered set.
-        self.fed: dict[str, None] = {}
-        self.unplaced: list[str] = []
+        # The sidecars that this gateway pushes to, as an ordered set.
+        self.fed_sidecars: dict[str, None] = {}
+        self.pending_sidecars: list[str] = []
         self.ring = _ranking.Ring()
         self.ahead: dict[str, int] = {}
         self.as_of_ms: int | None = None
-        self.told_as_of_ms = LONG_AGO_MS
-        self.told_sidecars_ms = 0
-        self.first_told_ms: int | None = None
-        self.heard_ms = 0
-        self.asked_ms = LONG_AGO_MS
-        self.turn = 0
+        self.reported_as_of_ms = NEVER_MS
+        self.sidecars_reported_ms = 0
+        self.first_report_ms: int | None = None
+        self.last_message_ms = 0
+        self.last_request_ms = NEVER_MS
+        self.rotation = 0
 
     @property
     def next_offset(self) -> int:
         return self.history.state.next_offset
 
     def age_ms(self, at_ms: int) -> int:
-        """Return how old our knowledge of the log's end is, -1 if none."""
+        """Return the time since ``as_of_ms``, -1 if that is unknown."""
         return -1 if self.as_of_ms is None else max(at_ms - self.as_of_ms, 0)
 
-    # Who there is.
+    # Peers and push targets.
 
-    def opened(self, peer: str, role: events.Role, at_ms: int) -> Effects:
-        """A link is open: tell how far we are, whatever was lost before."""
+    def link_opened(self, peer: str, role: events.Role, at_ms: int) -> Effects:
+        """Add a peer and report our position, as messages may be lost."""
         self.peers[peer] = Peer(role)
         if self.role is events.Role.GATEWAY:
-            self.add_target(peer, role)
-        return [self.tell(peer, at_ms)]
+            self.add_push_target(peer, role)
+        return [self.report_position(peer, at_ms)]
 
-    def closed(self, peer: str) -> None:
-        """A link is gone, and perhaps what was sent on it."""
-        known = self.peers.pop(peer, None)
+    def link_closed(self, peer: str) -> None:
+        """Remove a peer; messages in flight on its link may be lost."""
+        state = self.peers.pop(peer, None)
         self.ahead.pop(peer, None)
-        self.fed.pop(peer, None)
-        if known is not None and peer in self.gateway_targets:
+        self.fed_sidecars.pop(peer, None)
+        if state is not None and peer in self.gateway_targets:
             self.choose_gateway_targets()
 
     def choose_targets(self, gateways: collections.abc.Iterable[str]) -> None:
-        """Choose again whom to push to, after gateways came or went.
+        """Choose the push targets again after the list of gateways changed.
 
-        The sidecars follow a few at a tick: a gateway may be linked to
-        thousands, and must not keep its callers waiting meanwhile.
+        Sidecars are assigned in batches, one a tick: a gateway may be linked
+        to thousands, and assigning all at once would delay its callers.
         """
         if self.role is not events.Role.GATEWAY:
             return
         self.ring.update(gateways)
         self.choose_gateway_targets()
-        self.unplaced = [
+        self.pending_sidecars = [
             name
             for name, peer in self.peers.items()
             if peer.role is events.Role.ENDPOINT
         ]
 
-    def place_sidecars(self) -> None:
-        """Choose for some of the sidecars whether to feed them."""
-        for _ in range(min(len(self.unplaced), PLACED_A_TICK)):
-            name = self.unplaced.pop()
-            self.fed.pop(name, None)
+    def assign_sidecars(self) -> None:
+        """Decide for the next batch of sidecars whether to feed them."""
+        for _ in range(
+            min(len(self.pending_sidecars), SIDECARS_ASSIGNED_PER_TICK)
+        ):
+            name = self.pending_sidecars.pop()
+            self.fed_sidecars.pop(name, None)
             if name in self.peers:
-                self.add_target(name, events.Role.ENDPOINT)
+                self.add_push_target(name, events.Role.ENDPOINT)
 
-    def add_target(self, peer: str, role: events.Role) -> None:
-        """Push to a gateway, or to a sidecar that is ours to feed."""
+    def add_push_target(self, peer: str, role: events.Role) -> None:
+        """Add a gateway, or a sidecar that this gateway has to feed."""
         if role is events.Role.GATEWAY:
             self.choose_gateway_targets()
-        elif self.instance in self.ring.owners(peer, FEEDERS):
-            self.fed[peer] = None
+        elif self.instance in self.ring.owners(peer, FEEDERS_PER_SIDECAR):
+            self.fed_sidecars[peer] = None
 
     def choose_gateway_targets(self) -> None:
         gateways = [
@@ -142,74 +147,74 @@
             _ranking.chosen(self.instance, gateways, MOST_GATEWAY_TARGETS)
         )
 
-    def gateways(self, at_ms: int) -> tuple[following.PeerStatus, ...]:
-        """Return what the linked gateways last told of themselves."""
+    def gateway_statuses(self, at_ms: int) -> tuple[following.PeerStatus, ...]:
+        """Return the last reported revision of each linked gateway."""
         return tuple(
-            following.PeerStatus(name, peer.revision, at_ms - peer.told_ms)
+            following.PeerStatus(name, peer.revision, at_ms - peer.reported_ms)
             for name, peer in sorted(self.peers.items())
             if peer.role is events.Role.GATEWAY and peer.revision >= 0
         )
 
-    # What peers say.
+    # Messages from peers.
 
-    def at(
+    def handle_position(
         self, peer: str, message: messages.ConfigurationAt, at_ms: int
     ) -> Effects:
-        """A peer told how far it is; help it, or let it help us."""
-        self.hear(at_ms)
-        known = self.peers.get(peer)
-        if known is not None:
-            known.known = message.next_offset
-            known.revision = message.revision
-            known.told_ms = at_ms
+        """Handle a reported position; send or request missing entries."""
+        self.record_message(at_ms)
+        state = self.peers.get(peer)
+        if state is not None:
+            state.known_offset = message.next_offset
+            state.revision = message.revision
+            state.reported_ms = at_ms
         if message.next_offset > self.next_offset:
             self.ahead[peer] = message.next_offset
-            return self.ask(peer, at_ms)
+            return self.request_entries(peer, at_ms)
         self.ahead.pop(peer, None)
-        done = self.freshen(message, at_ms)
+        sent = self.update_end_time(message, at_ms)
         if message.wanted:
-            done += self.serve(peer, message.next_offset, at_ms)
+            sent += self.send_missing(peer, message.next_offset, at_ms)
         elif message.next_offset < self.next_offset:
-            done.append(self.tell(peer, at_ms))
-        return done
+            sent.append(self.report_position(peer, at_ms))
+        return sent
 
-    def hear(self, at_ms: int) -> None:
-        """Note that a peer said something."""
-        self.heard_ms = at_ms
-        if self.first_told_ms is None:
-            self.first_told_ms = at_ms
+    def record_message(self, at_ms: int) -> None:
+        """Record the time of a message from a peer."""
+        self.last_message_ms = at_ms
+        if self.first_report_ms is None:
+            self.first_report_ms = at_ms
 
-    def freshen(
+    def update_end_time(
         self, message: messages.ConfigurationAt, at_ms: int
     ) -> Effects:
-        """Take over when a peer saw the end of the log, and tell it on.
+        """Update ``as_of_ms`` from a peer's report and report it to gateways.
 
-        At once, for waiting for the next tick would add up over the many
-        gateways that stand between this one and a reader of the log.
+        This is done at once: waiting for the next tick would add up over the
+        many gateways between this one and a reader of the log.
         """
         if message.age_ms >= 0:
-            self.seen_end(at_ms - message.age_ms)
-        return self.tell_gateways(at_ms)
+            self.record_log_end(at_ms - message.age_ms)
+        return self.report_to_gateways(at_ms)
 
-    def seen_end(self, at_ms: int) -> None:
-        """The log held no more than we have read at that time."""
+    def record_log_end(self, at_ms: int) -> None:
+        """Record that everything in the log at that time has been read."""
         if self.as_of_ms is None or at_ms > self.as_of_ms:
             self.as_of_ms = at_ms
 
-    def ask(self, peer: str, at_ms: int) -> Effects:
-        """Ask one peer at a time for what follows; all would answer."""
-        if at_ms - self.asked_ms < ASK_PAUSE_MS:
+    def request_entries(self, peer: str, at_ms: int) -> Effects:
+        """Request new entries, from one peer at a time to avoid duplicates."""
+        if at_ms - self.last_request_ms < ASK_PAUSE_MS:
             return []
         if self.history.stopped:
-            # We could not judge what they would send.
+            # The fold has stopped and could not evaluate the entries.
             return []
-        self.asked_ms = at_ms
-        return [self.tell(peer, at_ms, wanted=True)]
+        self.last_request_ms = at_ms
+        return [self.report_position(peer, at_ms, wanted=True)]
 
-    # What we say.
+    # Messages to peers.
 
-    def tell(self, peer: str, at_ms: int, wanted: bool = False):
-        """Return the effect that tells a peer how far we are."""
+    def report_position(self, peer: str, at_ms: int, wanted: bool = False):
+        """Return the effect that reports our position to a peer."""
         state = self.history.state
         return effects.Send(
             peer,
@@ -222,90 +227,106 @@
             ),
         )
 
-    def serve(self, peer: str, offset: int, at_ms: int) -> Effects:
-        """Send a peer what follows an offset, or all if that is gone."""
+    def send_missing(self, peer: str, offset: int, at_ms: int) -> Effects:
+        """Send the entries from an offset on, or a snapshot."""
         entries = self.history.entries_from(offset)
         if entries is None:
             return self.send_snapshot(peer, at_ms)
-        done: Effects = []
+        sent: Effects = []
         if entries:
-            done.append(self.send_entries(peer, entries))
-        # Last, for it is the time of all the entries before it.
-        return [*done, self.tell(peer, at_ms)]
+            sent.append(self.send_entries(peer, entries))
+        # Sent last, as its age applies to all the entries sent before.
+        return [*sent, self.report_position(peer, at_ms)]
 
     def send_entries(
         self, peer: str, entries: tuple[messages.LogEntry, ...]
     ) -> effects.Send:
-        known = self.peers.get(peer)
-        if known is not None:
-            known.known = self.next_offset
+        state = self.peers.get(peer)
+        if state is not None:
+            state.known_offset = self.next_offset
         message = messages.ConfigurationEntries(entries, self.next_offset)
         return effects.Send(peer, message)
 
     def send_snapshot(self, peer: str, at_ms: int) -> Effects:
-        known = self.peers.get(peer)
-        if known is None or at_ms - known.snapshot_ms < SNAPSHOT_PAUSE_MS:
+        state = self.peers.get(peer)
+        if state is None or at_ms - state.snapshot_sent_ms < SNAPSHOT_PAUSE_MS:
             return []
-        known.snapshot_ms = at_ms
+        state.snapshot_sent_ms = at_ms
         snapshot = messages.ConfigurationSnapshot(self.history.snapshot())
-        return [effects.Send(peer, snapshot), self.tell(peer, at_ms)]
+        return [
+            effects.Send(peer, snapshot),
+            self.report_position(peer, at_ms),
+        ]
 
-    def pass_on(self, before: int, source: str, at_ms: int) -> Effects:
-        """Push what is new since an offset to all that need it."""
+    def push_new_entries(
+        self, before: int, source: str, at_ms: int
+    ) -> Effects:
+        """Push the entries since an offset to the targets that lack them."""
         self.ahead = {
-            peer: known
-            for peer, known in self.ahead.items()
-            if known > self.next_offset
+            peer: offset
+            for peer, offset in self.ahead.items()
+            if offset > self.next_offset
         }
         entries = self.history.entries_from(before)
         size = sum(len(entry.data) for entry in entries or ())
-        done: Effects = []
+        sent: Effects = []
         for name in self.targets():
             peer = self.peers.get(name)
             if peer is None or name == source:
                 continue
-            if peer.known >= self.next_offset:
+            if peer.known_offset >= self.next_offset:
                 continue
-            if entries is None or size > LARGEST_PUSH_BYTES:
-                done.append(self.tell(name, at_ms))
+            if entries is None or size > MAX_PUSH_BYTES:
+                sent.append(self.report_position(name, at_ms))
             else:
-                done.append(self.send_entries(name, entries))
-        return done
+                sent.append(self.send_entries(name, entries))
+        return sent
 
     def targets(self) -> collections.abc.Iterable[str]:
-        return (*self.gateway_targets, *self.fed)
+        return (*self.gateway_targets, *self.fed_sidecars)
 
     def tick(self, at_ms: int) -> Effects:
-        """Tell what is due; ask again what was not answered."""
-        self.place_sidecars()
-        done = self.tell_gateways(at_ms)
-        done += self.tell_sidecars(at_ms)
-        return done + self.ask_again(at_ms)
-
-    def tell_gateways(self, at_ms: int) -> Effects:
-        """Tell the time of the log's end on, once it has moved enough."""
+        """Send reports that are due and repeat unanswered requests."""
+        self.assign_sidecars()
+        sent = self.report_to_gateways(at_ms)
+        sent += self.report_to_sidecars(at_ms)
+        return sent + self.request_again(at_ms)
+
+    def report_to_gateways(self, at_ms: int) -> Effects:
+        """Report our position once ``as_of_ms`` has advanced enough."""
         if self.role is not events.Role.GATEWAY or self.as_of_ms is None:
             return []
-        if self.as_of_ms - self.told_as_of_ms < TELL_GATEWAYS_MS:
+        if self.as_of_ms - self.reported_as_of_ms < TELL_GATEWAYS_MS:
             return []
-        self.told_as_of_ms = self.as_of_ms
-        return [self.tell(name, at_ms) for name in self.gateway_targets]
+        self.reported_as_of_ms = self.as_of_ms
+        return [
+            self.report_position(name, at_ms) for name in self.gateway_targets
+        ]
 
-    def tell_sidecars(self, at_ms: int) -> Effects:
-        if at_ms - self.told_sidecars_ms < TELL_SIDECARS_MS:
+    def report_to_sidecars(self, at_ms: int) -> Effects:
+        if at_ms - self.sidecars_reported_ms < TELL_SIDECARS_MS:
             return []
-        self.told_sidecars_ms = at_ms
-        return [self.tell(name, at_ms) for name in self.fed]
+        self.sidecars_reported_ms = at_ms
+        return [
+            self.report_position(name, at_ms) for name in self.fed_sidecars
+        ]
 
-    def ask_again(self, at_ms: int) -> Effects:
-        """Ask the next peer if we are behind, or hear nothing new."""
+    def request_again(self, at_ms: int) -> Effects:
+        """Request entries from the next peer if behind or without news."""
         if self.ahead:
-            return self.ask(self.next_of(list(self.ahead)), at_ms)
-        silent = at_ms - max(self.heard_ms, self.asked_ms) >= ASK_AFTER_MS
-        if silent and self.peers:
-            return self.ask(self.next_of(list(self.peers)), at_ms)
+            return self.request_entries(
+                self.pick_next(list(self.ahead)), at_ms
+            )
+        is_silent = (
+            at_ms - max(self.last_message_ms, self.last_request_ms)
+            >= ASK_AFTER_MS
+        )
+        if is_silent and self.peers:
+            return self.request_entries(
+                self.pick_next(list(self.peers)), at_ms
+            )
         return []
 
-    def next_of(self, names: list[str]) -> str:
-        self.turn += 1
-        return names[self.turn % len(names)]
+    def pick_next(self, names: list[str]) -> str:
+        self.rotation += 1
+        return names[self.rotation % len(names)]
--- a/test/configuration/test_fold.py
+++ b/test/configuration/test_fold.py
@@ -76,10 +76,10 @@
                 self.assertEqual(state.next_offset, 2)
 
     def test_a_record_that_is_none_is_passed(self):
-        sound = builders.change(1, 'c', builders.put('a2'))
-        for junk in (b'', b'junk', sound[:6], sound[:-1], sound + b'x'):
+        valid = builders.change(1, 'c', builders.put('a2'))
+        for junk in (b'', b'junk', valid[:6], valid[:-1], valid + b'x'):
             with self.subTest(junk=junk):
-                state, verdicts = fold_all([builders.whole(), junk, sound])
+                state, verdicts = fold_all([builders.whole(), junk, valid])
                 self.assertIs(verdicts[1].outcome, Outcome.NO_RECORD)
                 self.assertIs(verdicts[2].outcome, Outcome.ACCEPTED)
                 self.assertEqual(state.next_offset, 3)
--- a/test/configuration/test_follower.py
+++ b/test/configuration/test_follower.py
@@ -11,7 +11,7 @@
 from test import fleet as fleets
 
 # Within this time a change is to be in force everywhere.
-IN_FORCE_MS = 8000
+PROPAGATION_LIMIT_MS = 8000
 
 
 def changes(count, first=1):
@@ -94,7 +94,7 @@
         large = configuration.encode_change(
             configuration.Change(0, 'op', 'w', whole=builders.declared(*names))
         )
-        self.assertGreater(len(large), configuration.LARGEST_PUSH_BYTES)
+        self.assertGreater(len(large), configuration.MAX_PUSH_BYTES)
         fleet.publish(large)
         fleet.run(3000)
         self.assertEqual(set(fleet.revisions().values()), {1})
@@ -153,7 +153,7 @@
             del fleet.followers[name]
         self.assertEqual(len(fleet.followers), 2)
         fleet.publish(*changes(1))
-        fleet.run(IN_FORCE_MS)
+        fleet.run(PROPAGATION_LIMIT_MS)
         self.assertEqual(set(fleet.revisions().values()), {2})
 
     def test_feeders_that_hang_do_not_keep_a_sidecar_behind(self):
@@ -169,12 +169,12 @@
         feeders = [
             name
             for name in ('g1', 'g2', 'g3')
-            if 's1' in fleet.followers[name].spread.fed
+            if 's1' in fleet.followers[name].propagator.fed_sidecars
         ]
         self.assertEqual(len(feeders), 2)
         fleet.paused = set(feeders)
         fleet.publish(*changes(1))
-        fleet.run(IN_FORCE_MS)
+        fleet.run(PROPAGATION_LIMIT_MS)
         self.assertEqual(fleet.revision('s1'), 2)
 
     def test_nobody_is_live_by_the_list(self):
--- a/test/configuration/test_ranking.py
+++ b/test/configuration/test_ranking.py
@@ -17,8 +17,8 @@
 
     def test_one_that_leaves_is_replaced_and_the_others_stay(self):
         first, *others = _ranking.chosen('task', NAMES, 3)
-        left = [name for name in NAMES if name != first]
-        self.assertEqual(_ranking.chosen('task', left, 3)[:2], others)
+        remaining = [name for name in NAMES if name != first]
+        self.assertEqual(_ranking.chosen('task', remaining, 3)[:2], others)
 
 
 class RingTest(unittest.TestCase):
@@ -30,7 +30,7 @@
     def test_updated_ring_is_as_a_new_one(self):
         ring = self.ring(NAMES[:15])
         ring.update(NAMES[5:])
-        self.assertEqual(ring.places, self.ring(NAMES[5:]).places)
+        self.assertEqual(ring.points, self.ring(NAMES[5:]).points)
 
     def test_every_key_has_two_owners_and_no_name_has_most(self):
         ring = self.ring(NAMES)
--- a/test/configuration/test_records.py
+++ b/test/configuration/test_records.py
@@ -17,13 +17,13 @@
 SNAPSHOT_HEADER = configuration.INITIAL.snapshot()[: builders.RULE_AT + 10]
 
 # Stands for a number that Python refuses to print, as in a fault's text.
-HUGE = 'a huge number'
+HUGE_MARKER = 'a huge number'
 
 scalars = strategies.one_of(
     strategies.none(),
     strategies.booleans(),
     strategies.integers(-4, 4),
-    strategies.sampled_from((2**63, HUGE)),
+    strategies.sampled_from((2**63, HUGE_MARKER)),
     strategies.floats(),
     strategies.sampled_from(('', 'a', 'engine', 'vaxel-ai', 'x' * 300)),
     strategies.binary(max_size=3),
@@ -50,17 +50,19 @@
 
 
 def body(*parts):
-    return zlib.compress(b''.join(cbor2.dumps(real(part)) for part in parts))
+    return zlib.compress(
+        b''.join(cbor2.dumps(with_huge_numbers(part)) for part in parts)
+    )
 
 
-def real(value):
+def with_huge_numbers(value):
     """Return the value with real huge numbers in it."""
     if isinstance(value, list | tuple):
-        return [real(item) for item in value]
-    return 10**5000 if value == HUGE else value
+        return [with_huge_numbers(item) for item in value]
+    return 10**5000 if value == HUGE_MARKER else value
 
 
-def fixed(limit=150):
+def deterministic(limit=150):
     return hypothesis.settings(
         derandomize=True, deadline=None, max_examples=limit, database=None
     )
@@ -79,29 +81,29 @@
         self.assertIsInstance(verdict.outcome, configuration.Outcome)
         return state, verdict
 
-    @fixed()
+    @deterministic()
     @hypothesis.given(strategies.one_of(head, values), items)
     def test_any_structure_is_judged(self, first, rest):
         self.judge(HEADER + body(first, *rest))
 
-    @fixed()
+    @deterministic()
     @hypothesis.given(items)
     def test_any_delta_is_judged(self, rest):
         count = len(rest)
         self.judge(HEADER + body([count, 0, 'op', 'c', False], *rest))
         self.judge(HEADER + body([count, 0, 'op', 'c', True], *rest))
 
-    @fixed()
+    @deterministic()
     @hypothesis.given(strategies.binary(max_size=40), strategies.integers(0))
-    def test_any_bytes_are_judged(self, junk, place):
-        sound = builders.whole()
-        place %= len(sound)
+    def test_any_bytes_are_judged(self, junk, position):
+        valid = builders.whole()
+        position %= len(valid)
         self.judge(junk)
         self.judge(HEADER + junk)
         self.judge(HEADER + zlib.compress(junk))
-        self.judge(sound[:place] + junk + sound[place + len(junk) :])
+        self.judge(valid[:position] + junk + valid[position + len(junk) :])
 
-    @fixed()
+    @deterministic()
     @hypothesis.given(strategies.one_of(head, values), items)
     def test_any_snapshot_is_taken_or_left(self, first, rest):
         history = configuration.History()
@@ -116,12 +118,16 @@
             [-2, 'a'],
         )
         for entity in entities:
-            for place in range(len(entity)):
-                huge = [*entity[:place], HUGE, *entity[place + 1 :]]
+            for position in range(len(entity)):
+                huge = [
+                    *entity[:position],
+                    HUGE_MARKER,
+                    *entity[position + 1 :],
+                ]
                 self.judge(HEADER + body([1, 0, 'op', 'c', False], huge))
-        for place in range(5):
+        for position in range(5):
             first = [0, 0, 'op', 'c', False]
-            first[place] = HUGE
+            first[position] = HUGE_MARKER
             self.judge(HEADER + body(first))
 
     def test_a_defect_in_judging_stops_and_ends_nothing(self):
