--- a/berylhollow/configuration/_codec.py
+++ b/berylhollow/configuration/_codec.py
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The configuration and its history up to ``next_offset``.
+    """The state that results from the records before ``next_offset``.
 
     ``operator`` and ``change_id`` are those of the last accepted change.
     """
@@ -110,13 +110,13 @@
         snapshot.operator,
         snapshot.change_id,
     ]
-    next_offset = snapshot.next_offset.to_bytes(NEXT_OFFSET_BYTES, 'big')
+    next_offset_bytes = snapshot.next_offset.to_bytes(NEXT_OFFSET_BYTES, 'big')
     return _encode_record(
         SNAPSHOT_MAGIC,
         head,
         _count_entities(snapshot.declared),
         _encode_entities(snapshot.declared),
-        next_offset,
+        next_offset_bytes,
     )
 
 
@@ -191,7 +191,7 @@
 def _check_header(magic: bytes, data: bytes) -> None:
     if len(data) < HEADER_BYTES or not data.startswith(magic):
         raise _entity_codec.MalformedRecord(
-            f'the record does not start with {magic!r}'
+            f'the record has no valid {magic!r} header'
         )
     rule = read_rule(data)
     if rule > RULE:
--- a/berylhollow/configuration/_configuration.py
+++ b/berylhollow/configuration/_configuration.py
@@ -67,7 +67,7 @@
         self, request: events.Request, seed: float
     ) -> following.Terms | errors.Kind:
         """Return the terms of a request, or the error that rejects it."""
-        kind = self.refuse(request.service, request.adapter)
+        kind = self.request_error(request.service, request.adapter)
         if kind is not None:
             return kind
         service = request.service
@@ -91,7 +91,7 @@
         """Return an empty tuple, as engines start with their model."""
         return ()
 
-    def refuse(
+    def request_error(
         self, service: str, adapter: messages.AdapterVersion | None
     ) -> errors.Kind | None:
         """Return the error that rejects a request, None if it is allowed.
@@ -101,7 +101,7 @@
         adapter: its body could name one that was never checked.
         """
         if adapter is None:
-            return self.refuse_without_adapter(service)
+            return self.request_error_without_adapter(service)
         declared = self.adapters.get(adapter.adapter)
         if declared is None:
             return errors.Kind.UNKNOWN_ADAPTER
@@ -111,7 +111,9 @@
             return errors.Kind.UNKNOWN_VERSION
         return None
 
-    def refuse_without_adapter(self, service: str) -> errors.Kind | None:
+    def request_error_without_adapter(
+        self, service: str
+    ) -> errors.Kind | None:
         """Return the error that rejects a request without an adapter."""
         declared = self.services.get(service)
         if declared is None:
--- a/berylhollow/configuration/_spread.py
+++ b/berylhollow/configuration/_spread.py
@@ -98,10 +98,10 @@
 
     def link_closed(self, peer: str) -> None:
         """Remove a peer; messages in flight on its link may be lost."""
-        state = self.peers.pop(peer, None)
+        peer_state = self.peers.pop(peer, None)
         self.ahead.pop(peer, None)
         self.fed_sidecars.pop(peer, None)
-        if state is not None and peer in self.gateway_targets:
+        if peer_state is not None and peer in self.gateway_targets:
             self.choose_gateway_targets()
 
     def choose_targets(self, gateways: collections.abc.Iterable[str]) -> None:
@@ -162,11 +162,11 @@
     ) -> Effects:
         """Handle a reported position; send or request missing entries."""
         self.record_message(at_ms)
-        state = self.peers.get(peer)
-        if state is not None:
-            state.known_offset = message.next_offset
-            state.revision = message.revision
-            state.reported_ms = at_ms
+        peer_state = self.peers.get(peer)
+        if peer_state is not None:
+            peer_state.known_offset = message.next_offset
+            peer_state.revision = message.revision
+            peer_state.reported_ms = at_ms
         if message.next_offset > self.next_offset:
             self.ahead[peer] = message.next_offset
             return self.request_entries(peer, at_ms)
@@ -241,17 +241,20 @@
     def send_entries(
         self, peer: str, entries: tuple[messages.LogEntry, ...]
     ) -> effects.Send:
-        state = self.peers.get(peer)
-        if state is not None:
-            state.known_offset = self.next_offset
+        peer_state = self.peers.get(peer)
+        if peer_state is not None:
+            peer_state.known_offset = self.next_offset
         message = messages.ConfigurationEntries(entries, self.next_offset)
         return effects.Send(peer, message)
 
     def send_snapshot(self, peer: str, at_ms: int) -> Effects:
-        state = self.peers.get(peer)
-        if state is None or at_ms - state.snapshot_sent_ms < SNAPSHOT_PAUSE_MS:
+        peer_state = self.peers.get(peer)
+        if (
+            peer_state is None
+            or at_ms - peer_state.snapshot_sent_ms < SNAPSHOT_PAUSE_MS
+        ):
             return []
-        state.snapshot_sent_ms = at_ms
+        peer_state.snapshot_sent_ms = at_ms
         snapshot = messages.ConfigurationSnapshot(self.history.snapshot())
         return [
             effects.Send(peer, snapshot),
--- a/test/configuration/test_fold.py
+++ b/test/configuration/test_fold.py
@@ -1,4 +1,4 @@
-"""Tests of acceptance: the same verdict everywhere, from the log alone."""
+"""Tests that verdicts on changes depend on the log alone."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 def fold_all(records, state=configuration.INITIAL):
-    """Fold records from the state's offset on; return state, verdicts."""
+    """Fold records after a state; return the new state and the verdicts."""
     verdicts = []
     for data in records:
         entry = messages.LogEntry(state.next_offset, 0, data)
@@ -22,11 +22,11 @@
 
 
 class AcceptanceTest(unittest.TestCase):
-    def test_first_of_two_racing_changes_wins(self):
+    def test_first_of_two_concurrent_changes_is_accepted(self):
         """Two operators publish at once, both based on revision 1.
 
-        The log puts one first. A naive version that applies both, or the
-        later one by its clock, loses an operator's change without a word.
+        The log orders them. An implementation that applies both, or the later
+        one by its clock, silently loses the change of one operator.
         """
         state, verdicts = fold_all(
             [
@@ -46,11 +46,11 @@
             state.configuration.servable(messages.AdapterVersion('a1', '2'))
         )
 
-    def test_a_record_doubled_by_a_retry_is_applied_once(self):
-        """An append's answer is lost and the operator's tool sends again.
+    def test_a_record_duplicated_by_a_retry_is_applied_once(self):
+        """The answer to an append is lost and the operator's tool retries.
 
-        Both copies are on the log. The second is based on a revision that
-        the first has replaced, and names the first as what won.
+        The log holds both copies. The base revision of the second is no
+        longer in force, and its verdict names the first as the winner.
         """
         again = builders.change(1, 'same', builders.put('a2'))
         state, verdicts = fold_all([builders.whole(), again, again])
@@ -58,7 +58,7 @@
         self.assertEqual(verdicts[2].won.change_id, 'same')
         self.assertEqual(state.configuration.revision, 2)
 
-    def test_an_invalid_result_leaves_the_revision(self):
+    def test_an_invalid_change_keeps_the_revision(self):
         cases = {
             'unknown service': [builders.put('b1', service='nowhere')],
             'service in use': [builders.remove_service()],
@@ -75,7 +75,7 @@
                 self.assertEqual(state.configuration.revision, 1)
                 self.assertEqual(state.next_offset, 2)
 
-    def test_a_record_that_is_none_is_passed(self):
+    def test_a_malformed_record_is_skipped(self):
         valid = builders.change(1, 'c', builders.put('a2'))
         for junk in (b'', b'junk', valid[:6], valid[:-1], valid + b'x'):
             with self.subTest(junk=junk):
@@ -85,10 +85,11 @@
                 self.assertEqual(state.next_offset, 3)
 
     def test_an_unknown_rule_stops_the_fold_before_it(self):
-        """Newer software publishes what this software cannot judge.
+        """Newer software publishes a change under an unsupported rule.
 
-        If the old one skipped it, it would accept or refuse what comes next
-        against what the new one says, and serve what nobody published.
+        If older software skipped the record, it could evaluate the next
+        changes differently from newer software, and would then serve a
+        configuration that nobody published.
         """
         newer = builders.with_rule(
             builders.change(1, 'new', builders.put('a2')), 2
@@ -98,7 +99,7 @@
         self.assertEqual(state.next_offset, 1)
         self.assertEqual(state.configuration.revision, 1)
 
-    def test_an_entry_out_of_order_is_a_fault_of_the_program(self):
+    def test_an_entry_out_of_order_raises_value_error(self):
         with self.assertRaises(ValueError):
             configuration.fold(
                 configuration.INITIAL,
@@ -106,10 +107,10 @@
             )
 
     def test_the_verdicts_of_rule_1_are_frozen(self):
-        """A later software version must accept what this one accepts.
+        """Later software versions must accept what this one accepts.
 
         If this digest changes, rule 1 has changed: processes of the two
-        versions would serve different configurations. Add a rule instead.
+        versions would serve different configurations. Add a new rule instead.
         """
         state, verdicts = fold_all(builders.rule_1_records())
         self.assertEqual(
@@ -127,7 +128,7 @@
 
 
 class SnapshotTest(unittest.TestCase):
-    def test_a_snapshot_continues_as_the_fold_does(self):
+    def test_folding_from_a_snapshot_gives_the_same_state(self):
         records = builders.rule_1_records()
         whole, _ = fold_all(records)
         half, _ = fold_all(records[:2])
@@ -141,7 +142,7 @@
         other, _ = fold_all(builders.rule_1_records())
         self.assertEqual(one.snapshot(), other.snapshot())
 
-    def test_a_snapshot_of_newer_software_is_told_from_junk(self):
+    def test_a_snapshot_of_newer_software_is_distinguished_from_junk(self):
         state, _ = fold_all([builders.whole()])
         with self.assertRaises(configuration.UnknownRule):
             configuration.from_snapshot(
@@ -157,23 +158,25 @@
         state, _ = fold_all([builders.whole()])
         self.configuration = state.configuration
 
-    def refuse(self, service, adapter=None, version='1'):
+    def request_error(self, service, adapter=None, version='1'):
         named = adapter and messages.AdapterVersion(adapter, version)
-        return self.configuration.refuse(service, named)
+        return self.configuration.request_error(service, named)
 
-    def test_only_what_is_declared_is_served(self):
+    def test_undeclared_services_adapters_and_versions_are_refused(self):
         kinds = errors.Kind
-        self.assertIsNone(self.refuse('vaxel-ai', 'a1'))
-        self.assertIsNone(self.refuse('', 'a1'))
-        self.assertIsNone(self.refuse('medlem-register'))
-        self.assertIs(self.refuse('x'), kinds.UNKNOWN_SERVICE)
-        self.assertIs(self.refuse('vaxel-ai'), kinds.UNKNOWN_ADAPTER)
-        self.assertIs(self.refuse('', 'b'), kinds.UNKNOWN_ADAPTER)
+        self.assertIsNone(self.request_error('vaxel-ai', 'a1'))
+        self.assertIsNone(self.request_error('', 'a1'))
+        self.assertIsNone(self.request_error('medlem-register'))
+        self.assertIs(self.request_error('x'), kinds.UNKNOWN_SERVICE)
+        self.assertIs(self.request_error('vaxel-ai'), kinds.UNKNOWN_ADAPTER)
+        self.assertIs(self.request_error('', 'b'), kinds.UNKNOWN_ADAPTER)
         self.assertIs(
-            self.refuse('medlem-register', 'a1'), kinds.UNKNOWN_ADAPTER
+            self.request_error('medlem-register', 'a1'), kinds.UNKNOWN_ADAPTER
+        )
+        self.assertIs(self.request_error('', 'a1', '9'), kinds.UNKNOWN_VERSION)
+        self.assertIs(
+            self.request_error('', 'a1', 'off'), kinds.UNKNOWN_VERSION
         )
-        self.assertIs(self.refuse('', 'a1', '9'), kinds.UNKNOWN_VERSION)
-        self.assertIs(self.refuse('', 'a1', 'off'), kinds.UNKNOWN_VERSION)
 
     def test_difference_turns_one_manifest_into_another(self):
         wanted = manifest.Manifest(
--- a/test/configuration/test_follower.py
+++ b/test/configuration/test_follower.py
@@ -1,4 +1,4 @@
-"""Tests of following: gaps, outages, late and doubled words, retention."""
+"""Tests of ``Follower``: gaps, outages, duplicates, log retention."""
 
 import unittest
 
@@ -10,12 +10,12 @@
 from test import configuration_builders as builders
 from test import fleet as fleets
 
-# Within this time a change is to be in force everywhere.
+# A change must be in force in every process within this time.
 PROPAGATION_LIMIT_MS = 8000
 
 
 def changes(count, first=1):
-    """Records that follow ``builders.whole()``, each based on the last."""
+    """Return changes after ``builders.whole()``, each based on the last."""
     return [
         builders.change(
             base, f'c{base}', builders.put('a2', versions=(str(base),))
@@ -24,7 +24,7 @@
     ]
 
 
-class SpreadTest(unittest.TestCase):
+class PropagationTest(unittest.TestCase):
     def test_all_processes_follow_though_few_read_the_log(self):
         names = [f'g{number}' for number in range(6)] + ['s1', 's2', 's3']
         fleet = fleets.Fleet(*names)
@@ -40,11 +40,11 @@
             len(fleet.reads), configuration.READERS_PER_DOMAIN, fleet.reads
         )
 
-    def test_a_gap_is_asked_for_again(self):
-        """A push is lost with its link; the next one comes on a new link.
+    def test_entries_of_a_gap_are_requested(self):
+        """A push is lost with its link; the next one arrives on a new link.
 
-        A naive process would apply it to what it has, and judge it by a
-        base revision that it never saw.
+        A process that folds the second entry without the first would check
+        its base revision against a wrong state.
         """
         fleet = fleets.Fleet('g1', 's1')
         fleet.link_all()
@@ -69,7 +69,7 @@
         fleet.run(1000)
         self.assertEqual(sidecar.current.revision, 3)
 
-    def test_what_a_broken_link_lost_is_made_up_when_it_opens(self):
+    def test_messages_lost_with_a_link_are_sent_again_when_it_opens(self):
         fleet = fleets.Fleet('g1', 's1')
         fleet.link_all()
         fleet.publish(builders.whole())
@@ -83,8 +83,8 @@
         fleet.deliver_all()
         self.assertEqual(fleet.revision('s1'), 2)
 
-    def test_large_entries_are_offered_and_sent_once(self):
-        """A whole manifest must not come from every neighbour at once."""
+    def test_large_entries_are_announced_and_sent_once(self):
+        """A whole manifest must not be sent by every linked gateway."""
         fleet = fleets.Fleet('g1', 'g2', 'g3', 's1')
         fleet.read_fails = {'s1'}
         fleet.link_all()
@@ -98,10 +98,10 @@
         fleet.publish(large)
         fleet.run(3000)
         self.assertEqual(set(fleet.revisions().values()), {1})
-        # Two of the gateways read the log; the other processes ask.
+        # Two of the gateways read the log; the other processes request it.
         self.assertLessEqual(fleet.sent[messages.ConfigurationEntries], 2)
 
-    def test_gateways_known_only_from_the_tick_are_pushed_to(self):
+    def test_entries_are_pushed_to_peers_known_only_from_the_tick(self):
         follower = configuration.Follower('g1', events.Role.GATEWAY)
         follower.start(0)
         follower.tick(0, ['g1', 'g2'], ['g2', 's1'])
@@ -117,7 +117,9 @@
         }
         self.assertEqual(pushed, {'g2', 's1'})
 
-    def test_a_request_of_a_newer_revision_makes_a_sidecar_ask(self):
+    def test_an_offer_of_a_newer_revision_makes_a_sidecar_request_entries(
+        self,
+    ):
         fleet = fleets.Fleet('g1', 's1')
         fleet.link_all()
         fleet.publish(builders.whole())
@@ -130,12 +132,12 @@
         self.assertTrue(asked.wanted)
 
 
-class LeftAloneTest(unittest.TestCase):
-    def test_readers_that_are_listed_but_gone(self):
-        """The chosen readers are dead; the instance list still shows them.
+class ReaderFailureTest(unittest.TestCase):
+    def test_readers_that_are_listed_but_dead(self):
+        """The chosen readers are dead but still in the instance list.
 
-        A process that trusted the choice would stay on its revision for as
-        long as the list lags.
+        A process that relied on them would stay on its revision until the
+        list is updated.
         """
         fleet = fleets.Fleet('g1', 'g2', 'g3', 'g4')
         fleet.link_all()
@@ -157,9 +159,9 @@
         self.assertEqual(set(fleet.revisions().values()), {2})
 
     def test_feeders_that_hang_do_not_keep_a_sidecar_behind(self):
-        """Both gateways that feed a sidecar are paused; their links stay.
+        """Both gateways that feed a sidecar are paused; their links stay open.
 
-        Its third gateway does not feed it and would never tell it anything.
+        Its third gateway does not feed it and would never send it anything.
         """
         fleet = fleets.Fleet('g1', 'g2', 'g3', 's1')
         fleet.read_fails = {'s1'}
@@ -177,7 +179,7 @@
         fleet.run(PROPAGATION_LIMIT_MS)
         self.assertEqual(fleet.revision('s1'), 2)
 
-    def test_nobody_is_live_by_the_list(self):
+    def test_the_list_of_live_gateways_is_empty(self):
         fleet = fleets.Fleet('g1', 'g2', 's1')
         fleet.live = []
         fleet.publish(builders.whole())
@@ -189,11 +191,13 @@
 
 
 class StartTest(unittest.TestCase):
-    def test_in_an_outage_a_new_process_learns_the_newest_from_peers(self):
-        """The log is down and a gateway is replaced; its peers differ.
+    def test_a_new_process_gets_the_newest_revision_from_peers_in_an_outage(
+        self,
+    ):
+        """A gateway is replaced while the log is down and one peer lags.
 
-        One peer was cut off and lags. A process that served what the first
-        peer told would answer by an older revision than its predecessor.
+        If the new process served the revision of the first peer to report, it
+        could serve an older revision than its predecessor.
         """
         fleet = fleets.Fleet('g1', 'g2', 's1')
         fleet.link_all()
@@ -216,9 +220,9 @@
         self.assertEqual(fleet.revision('s1'), 3)
 
     def test_nothing_is_served_before_the_end_of_the_log_is_known(self):
-        """The newest snapshot can be read, the entries after it can't.
+        """The newest snapshot can be read but the entries after it can't.
 
-        Serving the snapshot would bring back what was changed since.
+        Serving the snapshot would undo the changes made after it.
         """
         fleet = fleets.Fleet('g1')
         fleet.publish(builders.whole())
@@ -238,7 +242,7 @@
         fleet.run(15_000)
         self.assertEqual(fleet.revision('g1'), 4)
 
-    def test_an_empty_log_gives_no_configuration(self):
+    def test_no_configuration_is_served_while_the_log_is_empty(self):
         fleet = fleets.Fleet('g1', 's1')
         fleet.link_all()
         fleet.run(5000)
@@ -259,10 +263,10 @@
         self.fleet.run(3000)
 
     def test_an_old_snapshot_from_a_peer_changes_nothing(self):
-        """A peer that lags sends what it has, as a whole configuration.
+        """A peer that lags sends a snapshot of its old state.
 
-        A process that takes a snapshot for the newest state brings back a
-        version that the operators have taken off.
+        A process that installs it would restore a version that the operators
+        have removed.
         """
         message = messages.ConfigurationSnapshot(self.old)
         event = events.MessageReceived(
@@ -271,7 +275,7 @@
         self.fleet.feed('s1', event)
         self.assertEqual(self.fleet.revision('s1'), 4)
 
-    def test_doubled_and_late_entries_change_nothing(self):
+    def test_duplicate_and_late_entries_change_nothing(self):
         digest = self.fleet.followers['s1'].status(0).digest
         entries = self.fleet.followers['g1'].history.entries_from(0)
         for part in (entries, entries[:1], entries[2:]):
@@ -285,7 +289,7 @@
         self.assertEqual(self.fleet.revision('s1'), 4)
         self.assertEqual(self.fleet.followers['s1'].status(0).digest, digest)
 
-    def test_the_served_revision_never_falls_by_a_fault_elsewhere(self):
+    def test_the_served_revision_stays_when_the_history_goes_back(self):
         follower = self.fleet.followers['s1']
         follower.history.state = configuration.from_snapshot(self.old)
         follower.advance(self.fleet.clock.now_ms())
@@ -293,18 +297,18 @@
 
 
 class RetentionTest(unittest.TestCase):
-    def test_snapshots_outlive_the_log_when_nothing_changes(self):
+    def test_snapshots_are_renewed_when_nothing_changes(self):
         """Nobody publishes for longer than the log keeps records.
 
-        The last change and every snapshot before are cut off. A process
-        that starts then must still find the configuration on the log.
+        The log drops the last change and all older snapshots. A process that
+        starts afterwards must still find the configuration in the log.
         """
         fleet = fleets.Fleet('g1', 'g2', retention_ms=3_600_000)
         fleet.publish(builders.whole(), *changes(2))
         fleet.run(2000)
         for _ in range(10):
-            self.skip(fleet, 20 * 60 * 1000)
-        # All are replaced at once; nothing is left but the log.
+            self.advance_clock(fleet, 20 * 60 * 1000)
+        # All processes are replaced at once, so only the log has the state.
         fleet.begin('g1')
         fleet.begin('g2')
         fleet.run(5000)
@@ -312,16 +316,16 @@
         records = fleet.log.model.streams[configuration.STREAM]
         self.assertEqual(records.first_offset, records.next_offset)
 
-    def skip(self, fleet, duration_ms):
-        """Let time pass in a leap; what is due is done after it."""
+    def advance_clock(self, fleet, duration_ms):
+        """Advance the clock in one step, then run the work that is due."""
         fleet.clock.advance(duration_ms)
         fleet.run(1000)
 
     def test_a_paused_writer_writes_an_old_snapshot_after_the_new(self):
-        """A gateway is paused in the middle of writing a snapshot.
+        """A gateway is paused while it writes a snapshot.
 
-        It wakes after the log has cut off what its snapshot needs, and its
-        old snapshot becomes the last one on the log.
+        It resumes after the log has dropped the entries that follow its
+        snapshot, and this outdated snapshot becomes the last one in the log.
         """
         fleet = fleets.Fleet('g1', retention_ms=60_000)
         fleet.publish(builders.whole())
@@ -337,7 +341,7 @@
         fleet.run(3000)
         self.assertEqual(fleet.revision('g1'), 4)
 
-    def test_a_gap_is_told_and_not_skipped(self):
+    def test_a_gap_is_reported_and_not_skipped(self):
         fleet = fleets.Fleet('g1', retention_ms=60_000)
         fleet.publish(builders.whole())
         fleet.clock.advance(90_000)
@@ -347,7 +351,7 @@
         self.assertTrue(status.gap)
         self.assertEqual((status.revision, status.next_offset), (0, 0))
 
-    def test_a_snapshot_that_was_not_taken_is_written_again(self):
+    def test_a_snapshot_is_written_again_after_a_failed_append(self):
         fleet = fleets.Fleet('g1')
         fleet.publish(builders.whole())
         fleet.run(1000)
@@ -360,11 +364,11 @@
 
 
 class TwoVersionsTest(unittest.TestCase):
-    def test_older_software_stays_and_says_why(self):
-        """Newer software publishes by a rule that a process doesn't know.
+    def test_older_software_stops_and_reports_the_reason(self):
+        """Newer software publishes a change under an unsupported rule.
 
-        It must stay on the revision that it knows, go on serving, and name
-        the rule; what it is sent afterwards must not move it.
+        An older process must stay on its revision, continue to serve and
+        name the rule in its status; later entries must not change that.
         """
         fleet = fleets.Fleet('g1', 's1')
         fleet.link_all()
--- a/test/configuration/test_interleavings.py
+++ b/test/configuration/test_interleavings.py
@@ -1,4 +1,4 @@
-"""Any order of delivery ends in one revision, and none goes back."""
+"""Tests that all processes converge, whatever the order of messages."""
 
 import unittest
 
@@ -37,7 +37,7 @@
 
 
 class Run:
-    """One run of random steps over three followers and a log."""
+    """Runs random steps on three followers and a log."""
 
     def __init__(self):
         self.fleet = fleets.Fleet(*NAMES)
@@ -71,7 +71,7 @@
         self.fleet.begin(process)
 
     def publish(self, behind):
-        """Publish on a base that was in force some records ago."""
+        """Publish a change whose base is ``behind`` revisions too old."""
         self.count += 1
         base = max(self.reference().configuration.revision - behind, 0)
         put = builders.put('a2', versions=(str(self.count),))
@@ -81,7 +81,7 @@
         self.fleet.publish(b'no record')
 
     def snapshot(self, process):
-        """A process writes what it knows, perhaps long behind."""
+        """Write the snapshot of a process, which may be outdated."""
         history = self.fleet.followers[process].history
         self.fleet.log.put(configuration.SNAPSHOT_STREAM, history.snapshot())
 
@@ -92,14 +92,14 @@
         self.fleet.clock.advance(duration_ms)
 
     def heal(self):
-        """Let everything work again, for long enough."""
+        """End all faults and run until the processes have converged."""
         self.fleet.log.model.faults.stop('log_down')
         for ends in PAIRS:
             self.link(ends)
         self.fleet.run(HEALED_MS)
 
     def reference(self):
-        """Return the state that follows from the log alone."""
+        """Return the state computed from the log alone."""
         state = configuration.INITIAL
         records = self.fleet.log.model.streams[configuration.STREAM].records
         for record in records:
@@ -113,7 +113,7 @@
         derandomize=True, deadline=None, max_examples=150, database=None
     )
     @hypothesis.given(strategies.lists(step, max_size=60))
-    def test_all_end_in_what_the_log_says(self, steps):
+    def test_all_processes_converge_to_the_state_of_the_log(self, steps):
         run = Run()
         for action, argument in steps:
             run.step(action, argument)
--- a/test/configuration/test_ranking.py
+++ b/test/configuration/test_ranking.py
@@ -1,4 +1,4 @@
-"""Tests of who does what for the fleet."""
+"""Tests of the assignment of tasks to processes."""
 
 import collections
 import unittest
@@ -15,7 +15,7 @@
         self.assertEqual(chosen, _ranking.chosen('task', NAMES[::-1], 3))
         self.assertEqual(len(set(chosen)), 3)
 
-    def test_one_that_leaves_is_replaced_and_the_others_stay(self):
+    def test_removing_a_name_keeps_the_other_choices(self):
         first, *others = _ranking.chosen('task', NAMES, 3)
         remaining = [name for name in NAMES if name != first]
         self.assertEqual(_ranking.chosen('task', remaining, 3)[:2], others)
@@ -27,12 +27,12 @@
         ring.update(names)
         return ring
 
-    def test_updated_ring_is_as_a_new_one(self):
+    def test_updated_ring_equals_a_new_one(self):
         ring = self.ring(NAMES[:15])
         ring.update(NAMES[5:])
         self.assertEqual(ring.points, self.ring(NAMES[5:]).points)
 
-    def test_every_key_has_two_owners_and_no_name_has_most(self):
+    def test_keys_are_spread_evenly_over_two_owners_each(self):
         ring = self.ring(NAMES)
         owned = collections.Counter()
         for number in range(1000):
@@ -41,6 +41,6 @@
             owned.update(owners)
         self.assertLess(max(owned.values()), 3 * 2 * 1000 / len(NAMES))
 
-    def test_few_names_or_none(self):
+    def test_ring_with_fewer_names_than_owners(self):
         self.assertEqual(self.ring([]).owners('s', 2), [])
         self.assertEqual(self.ring(['g']).owners('s', 2), ['g'])
--- a/test/configuration/test_records.py
+++ b/test/configuration/test_records.py
@@ -1,4 +1,4 @@
-"""No record, whatever it holds, may do more than be judged."""
+"""Tests that no record, however malformed, raises an error."""
 
 import unittest
 from unittest import mock
@@ -16,7 +16,8 @@
 HEADER = builders.change(0)[: builders.RULE_AT + 2]
 SNAPSHOT_HEADER = configuration.INITIAL.snapshot()[: builders.RULE_AT + 10]
 
-# Stands for a number that Python refuses to print, as in a fault's text.
+# Placeholder for an integer that is too long for Python to print, as the
+# message of a fault might.
 HUGE_MARKER = 'a huge number'
 
 scalars = strategies.one_of(
@@ -36,7 +37,7 @@
     ),
     max_leaves=12,
 )
-# Heads and entities that are nearly right reach further into the checks.
+# Heads and entities that are nearly valid get past the first checks.
 head = strategies.lists(scalars, min_size=5, max_size=5)
 adapter = strategies.tuples(
     strategies.just(2),
@@ -56,7 +57,7 @@
 
 
 def with_huge_numbers(value):
-    """Return the value with real huge numbers in it."""
+    """Return the value with each placeholder replaced by a huge number."""
     if isinstance(value, list | tuple):
         return [with_huge_numbers(item) for item in value]
     return 10**5000 if value == HUGE_MARKER else value
@@ -69,13 +70,13 @@
 
 
 class RecordTest(unittest.TestCase):
-    """A record that raises would end every process that reads it.
+    """A record that raises an error would end every process that reads it.
 
-    Each would read it again when it is started anew, so that one bad record
+    Each process would read it again after a restart, so that one bad record
     would keep the whole deployment down.
     """
 
-    def judge(self, data):
+    def fold_one(self, data):
         entry = messages.LogEntry(0, 0, data)
         state, verdict = configuration.fold(configuration.INITIAL, entry)
         self.assertIsInstance(verdict.outcome, configuration.Outcome)
@@ -83,34 +84,34 @@
 
     @deterministic()
     @hypothesis.given(strategies.one_of(head, values), items)
-    def test_any_structure_is_judged(self, first, rest):
-        self.judge(HEADER + body(first, *rest))
+    def test_any_structure_gets_a_verdict(self, first, rest):
+        self.fold_one(HEADER + body(first, *rest))
 
     @deterministic()
     @hypothesis.given(items)
-    def test_any_delta_is_judged(self, rest):
+    def test_any_delta_gets_a_verdict(self, rest):
         count = len(rest)
-        self.judge(HEADER + body([count, 0, 'op', 'c', False], *rest))
-        self.judge(HEADER + body([count, 0, 'op', 'c', True], *rest))
+        self.fold_one(HEADER + body([count, 0, 'op', 'c', False], *rest))
+        self.fold_one(HEADER + body([count, 0, 'op', 'c', True], *rest))
 
     @deterministic()
     @hypothesis.given(strategies.binary(max_size=40), strategies.integers(0))
-    def test_any_bytes_are_judged(self, junk, position):
+    def test_any_bytes_get_a_verdict(self, junk, position):
         valid = builders.whole()
         position %= len(valid)
-        self.judge(junk)
-        self.judge(HEADER + junk)
-        self.judge(HEADER + zlib.compress(junk))
-        self.judge(valid[:position] + junk + valid[position + len(junk) :])
+        self.fold_one(junk)
+        self.fold_one(HEADER + junk)
+        self.fold_one(HEADER + zlib.compress(junk))
+        self.fold_one(valid[:position] + junk + valid[position + len(junk) :])
 
     @deterministic()
     @hypothesis.given(strategies.one_of(head, values), items)
-    def test_any_snapshot_is_taken_or_left(self, first, rest):
+    def test_any_snapshot_is_installed_or_ignored(self, first, rest):
         history = configuration.History()
         data = SNAPSHOT_HEADER[:-1] + b'\x05' + body(first, *rest)
         self.assertIn(history.install(data), (True, False))
 
-    def test_huge_numbers_are_judged_wherever_they_stand(self):
+    def test_huge_numbers_get_a_verdict_in_any_field(self):
         entities = (
             [1, 's', 'engine', 'b', False, 1.0, 1.0, 7, 1.5],
             [2, 'a', 's', 3, [['1', True]]],
@@ -124,13 +125,13 @@
                     HUGE_MARKER,
                     *entity[position + 1 :],
                 ]
-                self.judge(HEADER + body([1, 0, 'op', 'c', False], huge))
+                self.fold_one(HEADER + body([1, 0, 'op', 'c', False], huge))
         for position in range(5):
             first = [0, 0, 'op', 'c', False]
             first[position] = HUGE_MARKER
-            self.judge(HEADER + body(first))
+            self.fold_one(HEADER + body(first))
 
-    def test_a_defect_in_judging_stops_and_ends_nothing(self):
+    def test_a_defect_in_the_fold_stops_it_without_an_error(self):
         history = configuration.History()
         entry = messages.LogEntry(0, 0, builders.whole())
         defect = mock.Mock(side_effect=KeyError('x'))
@@ -142,16 +143,16 @@
         self.assertIn('offset 0', history.stopped)
         self.assertEqual(history.state, configuration.INITIAL)
 
-    def test_a_body_that_unpacks_to_too_much_is_no_record(self):
+    def test_a_body_that_decompresses_to_too_much_is_malformed(self):
         bomb = zlib.compress(bytes(64 * 1024 * 1024))
-        _, verdict = self.judge(HEADER + bomb)
+        _, verdict = self.fold_one(HEADER + bomb)
         self.assertIs(verdict.outcome, configuration.Outcome.NO_RECORD)
 
-    def test_a_sound_change_is_accepted_by_these_builders(self):
-        """So that the tests above do not all fail at the header."""
+    def test_a_valid_change_from_these_builders_is_accepted(self):
+        """Otherwise the tests above might never get past the header."""
         service = [1, 's', 'engine', 'b', False, 1.0, 1.0, None, None]
         entity = [2, 'a', 's', 3, [['1', True]]]
-        _, verdict = self.judge(
+        _, verdict = self.fold_one(
             HEADER + body([2, 0, 'op', 'c', True], service, entity)
         )
         self.assertIs(verdict.outcome, configuration.Outcome.ACCEPTED)
--- a/test/configuration_builders.py
+++ b/test/configuration_builders.py
@@ -42,7 +42,7 @@
 
 
 def declared(*names):
-    """A manifest of two services and adapters, sorted by name."""
+    """Return a manifest of two services, sorted by name, and adapters."""
     return manifest.Manifest(
         services=(
             manifest.Service(PLAIN_SERVICE, manifest.ServiceKind.PLAIN),
@@ -53,7 +53,7 @@
 
 
 def whole(base=0, change_id='whole'):
-    """A record that declares adapter ``a1`` with version 1 and one off."""
+    """Return a record of ``a1`` with version 1 and one not servable."""
     first = manifest.Adapter(
         'a1',
         SERVICE,
@@ -85,11 +85,11 @@
 
 
 def with_rule(record, rule):
-    """The record, asking to be judged by another rule."""
+    """Return the record with another rule number."""
     number = rule.to_bytes(2, 'big')
     return record[:RULE_AT] + number + record[RULE_AT + 2 :]
 
 
 def rule_1_records():
-    """Records whose verdicts by rule 1 must never change."""
+    """Return records whose verdicts by rule 1 must never change."""
     return [bytes.fromhex(record) for record in RULE_1_RECORDS]
