--- a/berylhollow/shell/__init__.py
+++ b/berylhollow/shell/__init__.py
@@ -1,4 +1,4 @@
-"""What the shells of both roles share: feed a reducer, carry effects out."""
+"""Code that all shells share: feeds a reducer and carries out its effects."""
 
 from berylhollow.shell import _driver
 from berylhollow.shell import _gateway_links
--- a/berylhollow/shell/_driver.py
+++ b/berylhollow/shell/_driver.py
@@ -1,4 +1,4 @@
-"""Feed events to a reducer, one at a time, and hand its effects out."""
+"""Feeds events to a reducer one at a time and dispatches its effects."""
 
 import asyncio
 import collections
@@ -17,16 +17,17 @@
     [typing.Any, events.Event],
     tuple[typing.Any, collections.abc.Iterable[effects.Effect]],
 ]
-CarryOut = collections.abc.Callable[[typing.Any], None]
+EffectHandler = collections.abc.Callable[[typing.Any], None]
 
 
 class Driver:
-    """Keeps the state of a role's reducer and the queue of its events.
+    """Holds the state of a role's reducer and its queue of events.
 
-    ``handlers`` carries each class of effect out; a handler may feed further
-    events, but never waits. ``failed`` is set to the first exception of the
-    reducer or of a handler: the state may then be half changed, so no event
-    is taken after it and the process has to end.
+    ``handlers`` has a function for each class of effect, which carries it
+    out. A handler may feed further events but must not block. ``failed`` is
+    set to the first exception of the reducer or a handler. The state may then
+    be partly updated, so that no further event is processed and the process
+    has to exit.
     """
 
     def __init__(
@@ -34,43 +35,43 @@
         reduce: Reduce,
         state: typing.Any,
         time: clock.Clock,
-        handlers: collections.abc.Mapping[type, CarryOut],
+        handlers: collections.abc.Mapping[type, EffectHandler],
     ):
         self.reduce = reduce
         self.state = state
         self.time = time
         self.handlers = handlers
         self.pending: collections.deque[events.Event] = collections.deque()
-        self.busy = False
+        self.processing = False
         self.failed: asyncio.Future[Exception] = asyncio.Future()
 
     def feed(self, event: events.Event) -> None:
-        """Reduce an event now, or after the one under way."""
+        """Process an event now, or after the one that is being processed."""
         if self.failed.done():
             return
         self.pending.append(event)
-        if self.busy:
+        if self.processing:
             return
-        self.busy = True
+        self.processing = True
         try:
             while self.pending:
-                self._take(self.pending.popleft())
+                self._process(self.pending.popleft())
         except Exception as error:
-            # Going on could break a promise (a pin counted wrongly evicts an
-            # adapter in use); ending is what the peers are made for.
-            LOG.exception('a defect in the reducer or its shell')
+            # With an inconsistent state, guarantees could be broken: a wrong
+            # pin count evicts an adapter in use. Peers handle a process exit.
+            LOG.exception('unhandled exception in the reducer or its shell')
             self.pending.clear()
             self.failed.set_result(error)
         finally:
-            self.busy = False
+            self.processing = False
 
     async def tick(self, every_ms: int) -> None:
-        """Feed a tick every ``every_ms``, for ever."""
+        """Feed a ``Ticked`` event every ``every_ms``, without end."""
         while True:
             await asyncio.sleep(every_ms / clock.MS_PER_SECOND)
             self.feed(events.Ticked(self.time.now_ms(), random.random()))
 
-    def _take(self, event: events.Event) -> None:
-        self.state, todo = self.reduce(self.state, event)
-        for effect in todo:
+    def _process(self, event: events.Event) -> None:
+        self.state, requested = self.reduce(self.state, event)
+        for effect in requested:
             self.handlers[type(effect)](effect)
--- a/berylhollow/shell/_gateway_links.py
+++ b/berylhollow/shell/_gateway_links.py
@@ -1,4 +1,4 @@
-"""The links that gateways open to a process beside an endpoint."""
+"""Links that gateways open to a sidecar or a loader."""
 
 import collections.abc
 
@@ -9,10 +9,10 @@
 
 
 class GatewayLinks:
-    """Accept links and turn what happens on them into events.
+    """Accepts links from gateways and feeds their events to a reducer.
 
-    A gateway has one link at a time: a newer one replaces the older, whose
-    later messages are dropped.
+    A gateway has one link at a time. A new link replaces the previous one,
+    and later messages on the previous one are dropped.
     """
 
     def __init__(
@@ -37,11 +37,11 @@
         await self.server.start()
 
     async def stop(self) -> None:
-        """Close every link after what was sent on it."""
+        """Close every link once everything sent on it has gone out."""
         await self.server.stop()
 
     def send(self, peer: str, message: messages.Message) -> None:
-        """Send if there is a link; otherwise drop the message."""
+        """Send a message to a peer; drop it if there is no link."""
         link = self.by_peer.get(peer)
         if link is not None:
             link.send(message)
@@ -51,12 +51,12 @@
         return peer in self.by_peer
 
     def close(self, peer: str) -> None:
-        """Close the link to a peer after what was sent on it."""
+        """Close the link to a peer once everything sent on it has gone out."""
         link = self.by_peer.get(peer)
         if link is not None:
             link.close()
 
-    # Told by the links
+    # Callbacks of the links
 
     def link_up(self, link: links.Link) -> None:
         peer = link.peer.instance_id
@@ -90,5 +90,5 @@
             self.closed(peer)
 
     def closed(self, peer: str) -> None:
-        """Tell that the link in use with a peer is gone."""
+        """Feed the event that the current link to a peer was closed."""
         self.feed(events.LinkClosed(self.time.now_ms(), peer))
--- a/berylhollow/shell/_log_effects.py
+++ b/berylhollow/shell/_log_effects.py
@@ -1,4 +1,4 @@
-"""Carry out the effect that writes a log line."""
+"""Carries out the effect that writes a log line."""
 
 import logging
 
@@ -7,7 +7,7 @@
 
 
 def write_log(effect: effects.Log) -> None:
-    """Write a line under the name of the program itself."""
+    """Write a log line with the logger of the whole program."""
     level = logging.WARNING if effect.warning else logging.INFO
     logging.getLogger('berylhollow').log(
         level, effect.text, extra=logs.extra(effect.fields)
--- a/berylhollow/shell/_pages_server.py
+++ b/berylhollow/shell/_pages_server.py
@@ -1,4 +1,4 @@
-"""A small listener for pages about the process itself."""
+"""A small HTTP server for status pages of the process."""
 
 import collections.abc
 
@@ -9,7 +9,7 @@
 
 
 class PagesServer:
-    """Serves pages by their paths, on a listener of its own."""
+    """Serves pages by path on a separate port."""
 
     def __init__(
         self, host: str, port: int, pages: collections.abc.Mapping[str, Page]
@@ -20,7 +20,7 @@
         self.runner: web.ServerRunner | None = None
 
     async def start(self) -> None:
-        """Listen; ``port`` then is the real one. Raises OSError."""
+        """Listen and set ``port`` to the actual port; may raise OSError."""
         self.runner = web.ServerRunner(
             web.Server(self._answer, access_log=None)
         )
--- a/berylhollow/shell/_platform_calls.py
+++ b/berylhollow/shell/_platform_calls.py
@@ -1,4 +1,4 @@
-"""Effects on the platform: read and append to the log, list instances."""
+"""Platform effects: reads and appends of the log, the instance list."""
 
 import collections.abc
 import logging
@@ -16,12 +16,12 @@
 
 
 class Log(typing.Protocol):
-    """A log of records; raises the kinds of ``outgoing.CallError``."""
+    """A client of the log; raises the kinds of ``outgoing.CallError``."""
 
     async def read(
         self, stream: str, from_offset: int, *, wait_ms: int = 0
     ) -> log_service.ReadResult:
-        """Return the records from an offset on."""
+        """Return the records of a stream from an offset on."""
 
     async def append(self, stream: str, data: bytes) -> int:
         """Append a record and return its offset."""
@@ -31,45 +31,48 @@
 
 
 class KeyedLog(Log, typing.Protocol):
-    """A log that also gives the newest record of each key."""
+    """A log client that can also read the newest record of each key."""
 
     async def newest(self, stream: str) -> log_service.ReadResult:
         """Return the newest record of each key."""
 
 
 class InstanceList(typing.Protocol):
-    """The instances of the deployment."""
+    """A client of the deployment's instance list."""
 
     async def list(self) -> tuple[events.Instance, ...]:
-        """Return every instance that is listed now."""
+        """Return all instances that are listed now."""
 
     async def close(self) -> None:
         """Close the connections."""
 
 
-class ServiceInstances:
-    """The instance list of the project's own log service."""
+class LogServiceInstances:
+    """A client of the instance list in this project's log service."""
 
     def __init__(self, url: str):
         self.client = log_service.InstanceClient(url)
 
     async def list(self) -> tuple[events.Instance, ...]:
-        return tuple(_instance(entry) for entry in await self.client.list())
+        return tuple(
+            _instance_from_entry(entry) for entry in await self.client.list()
+        )
 
     async def close(self) -> None:
         await self.client.close()
 
 
-ROLES = {
+EVENT_ROLES = {
     log_service.Role.GATEWAY: events.Role.GATEWAY,
     log_service.Role.ENDPOINT: events.Role.ENDPOINT,
 }
 
 
 class PlatformCalls:
-    """Carry effects out at the platform and feed back what came of them.
+    """Carries out platform effects and feeds their results as events.
 
-    ``unshared_log`` is read where only an own read will do.
+    ``unshared_log`` is used for reads whose result may not come from another
+    process.
     """
 
     def __init__(
@@ -89,7 +92,7 @@
         self.instances = instances
 
     def handlers(self) -> dict:
-        """Return what carries each class of effect out."""
+        """Return the handler of each class of effect."""
         return {
             effects.ReadLog: self.read_log,
             effects.CheckLog: self.check_log,
@@ -107,7 +110,7 @@
         self.tasks.start(self._read_newest(effect))
 
     def check_log(self, effect: effects.CheckLog) -> None:
-        """Read a stream by ourselves; feeds LogChecked."""
+        """Read a stream from the log itself; feeds LogChecked."""
         self.tasks.start(self._check_log(effect))
 
     def append(self, effect: effects.Append) -> None:
@@ -125,16 +128,16 @@
 
     async def _read_newest(self, effect: effects.ReadNewest) -> None:
         reading = self.log.newest(effect.stream)
-        await self._read(effect.stream, None, reading)
+        await self._read_and_feed(effect.stream, None, reading)
 
     async def _read_log(self, effect: effects.ReadLog) -> None:
         stream = effect.stream
         reading = self.log.read(
             stream, effect.from_offset, wait_ms=effect.wait_ms
         )
-        await self._read(stream, effect.from_offset, reading)
+        await self._read_and_feed(stream, effect.from_offset, reading)
 
-    async def _read(
+    async def _read_and_feed(
         self,
         stream: str,
         from_offset: int | None,
@@ -150,7 +153,7 @@
         except outgoing.CallError:
             self.feed(events.LogReadFailed(self.time.now_ms(), stream))
             return
-        self.feed(self._log_read(stream, from_offset, result, begun_ms))
+        self.feed(self._log_read_event(stream, from_offset, result, begun_ms))
 
     async def _check_log(self, effect: effects.CheckLog) -> None:
         begun_ms = self.time.now_ms()
@@ -163,13 +166,13 @@
             fields = {'stream': effect.stream, 'reason': str(error)}
             LOG.info('stream can not be checked', extra=fields)
         else:
-            read = self._log_read(
+            read = self._log_read_event(
                 effect.stream, effect.from_offset, result, begun_ms
             )
         now_ms = self.time.now_ms()
         self.feed(events.LogChecked(now_ms, effect.stream, read))
 
-    def _log_read(
+    def _log_read_event(
         self,
         stream: str,
         from_offset: int | None,
@@ -192,9 +195,9 @@
         try:
             offset = await self.log.append(effect.stream, effect.data)
         except (outgoing.NotDone, outgoing.Refused):
-            self._append_failed(effect, events.Certainty.NOT_DONE)
+            self._feed_append_failed(effect, events.Certainty.NOT_DONE)
         except outgoing.CallError:
-            self._append_failed(effect, events.Certainty.UNKNOWN)
+            self._feed_append_failed(effect, events.Certainty.UNKNOWN)
         else:
             now_ms = self.time.now_ms()
             self.feed(
@@ -203,7 +206,7 @@
                 )
             )
 
-    def _append_failed(
+    def _feed_append_failed(
         self, effect: effects.Append, certainty: events.Certainty
     ) -> None:
         now_ms = self.time.now_ms()
@@ -222,14 +225,14 @@
 
 
 def own_service(url: str) -> tuple[Log, InstanceList]:
-    """Return the clients of the project's own log service at a URL."""
-    return log_service.LogClient(url), ServiceInstances(url)
+    """Return the clients of this project's log service at a URL."""
+    return log_service.LogClient(url), LogServiceInstances(url)
 
 
-def _instance(entry: log_service.Instance) -> events.Instance:
+def _instance_from_entry(entry: log_service.Instance) -> events.Instance:
     return events.Instance(
         entry.instance,
-        ROLES[entry.role],
+        EVENT_ROLES[entry.role],
         entry.service,
         entry.failure_domain,
         entry.region,
--- a/berylhollow/shell/_tasks.py
+++ b/berylhollow/shell/_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks that a shell has under way."""
+"""The running tasks of a shell."""
 
 import asyncio
 import collections.abc
@@ -8,20 +8,20 @@
 
 
 class Tasks:
-    """Keep tasks until they are done and log the one that fails."""
+    """Holds references to running tasks and logs those that fail."""
 
     def __init__(self):
         self.running: set[asyncio.Task] = set()
 
     def start(self, coroutine: collections.abc.Coroutine) -> asyncio.Task:
-        """Begin a task; an exception that it leaves is a defect."""
+        """Start a task; an exception that it does not handle is a bug."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self.running.add(task)
         task.add_done_callback(self._done)
         return task
 
     async def stop(self) -> None:
-        """Cancel what is under way and wait for it to end."""
+        """Cancel all running tasks and wait until they have ended."""
         tasks = tuple(self.running)
         for task in tasks:
             task.cancel()
