--- a/berylhollow/__main__.py
+++ b/berylhollow/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of the program ``berylhollow``."""
+"""Entry point of the ``berylhollow`` program."""
 
 import sys
 
@@ -7,7 +7,7 @@
 
 
 def main() -> int:
-    """Run the command that the command line names; return its exit code."""
+    """Run the command given on the command line; return its exit code."""
     arguments = sys.argv[1:]
     startup.hasten(arguments)
     return ui.main(arguments)
--- a/berylhollow/clock.py
+++ b/berylhollow/clock.py
@@ -1,4 +1,4 @@
-"""Time in whole milliseconds, from the machine or set by a test."""
+"""Clocks in whole milliseconds: the machine's, and one set by tests."""
 
 import dataclasses
 import time
@@ -8,21 +8,21 @@
 NS_PER_MS = 1_000_000
 
 NEVER_MS = -1_000_000
-"""Of something that has not happened yet; long before any process starts."""
+"""The time of an event that has not happened: before any process start."""
 
 
 class Clock(typing.Protocol):
-    """Tell the time that events carry."""
+    """The source of the time that events carry."""
 
     def now_ms(self) -> int:
-        """Return milliseconds since an arbitrary, fixed start."""
+        """Return milliseconds since an arbitrary but fixed point in time."""
 
 
 class MonotonicClock:
-    """The machine's clock since its start, never set back.
+    """The machine's monotonic clock, counted from its boot.
 
-    It goes on while the machine is suspended, where it can. Guards against a
-    process that takes what it knew before for fresh when it is woken.
+    Where the system allows it, the clock includes time in suspend. Otherwise
+    a process would take data from before the suspend for fresh on resume.
     """
 
     source = getattr(time, 'CLOCK_BOOTTIME', time.CLOCK_MONOTONIC)
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass
 class VirtualClock:
-    """A clock that moves only when it is told to."""
+    """A clock that moves only when ``advance`` is called."""
 
     time_ms: int = 0
 
@@ -41,7 +41,7 @@
         return self.time_ms
 
     def advance(self, duration_ms: int) -> None:
-        """Move forward; a negative duration raises ``ValueError``."""
+        """Move the clock forward; a negative duration raises ValueError."""
         if duration_ms < 0:
-            raise ValueError('a clock does not go back')
+            raise ValueError('a clock can not be set back')
         self.time_ms += duration_ms
--- a/berylhollow/effects.py
+++ b/berylhollow/effects.py
@@ -1,7 +1,7 @@
-"""Everything that a reducer can ask its shell to do, as data.
+"""The effects that a reducer requests from its shell, one class each.
 
-A shell carries effects out in the order given and reports what came of them
-as events; it takes no decision of its own.
+A shell carries effects out in the order given and reports their results as
+events; it makes no decisions of its own.
 """
 
 import dataclasses
@@ -28,21 +28,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CloseLink:
-    """Close a link after what was sent on it."""
+    """Close a link once everything sent on it has gone out."""
 
     peer: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadInstances:
-    """Read the instance list; answered by InstancesListed, or not at all."""
+    """Read the instance list; answered by InstancesListed or nothing."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadLog:
     """Read a stream; answered by LogRead or LogReadFailed.
 
-    ``wait_ms`` lets the log hold the answer until a record comes.
+    If there is no record yet, the log may wait ``wait_ms`` for one.
     """
 
     stream: str
@@ -52,9 +52,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CheckLog:
-    """Read a stream by ourselves and at once; answered by LogChecked.
+    """Read a stream now, from the log itself; answered by LogChecked.
 
-    Whatever other processes read and tell does not answer it.
+    Records that other processes read and share do not count as an answer.
     """
 
     stream: str
@@ -65,7 +65,7 @@
 class ReadNewest:
     """Read the newest record of each key; answered like ReadLog.
 
-    Only of a stream whose records have keys.
+    The records of the stream must have keys.
     """
 
     stream: str
@@ -73,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TakeStreamPart:
-    """Take in what another gateway has read of a stream."""
+    """Accept records of a stream that another gateway has read."""
 
     part: messages.StreamPart
 
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerError:
-    """Give a caller its final answer: an error."""
+    """Answer a caller with an error, which ends its request."""
 
     request_id: str
     kind: errors.Kind
@@ -103,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerStored:
-    """Give a caller an answer that was kept from an earlier run."""
+    """Answer a caller with the stored answer of an earlier run."""
 
     request_id: str
     status: int
@@ -113,9 +113,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BeginAnswer:
-    """Begin to relay the answer of one attempt, the only one to come.
+    """Begin to relay the answer of an attempt; no other one is relayed.
 
-    ``stalled_ms`` is how long it waited for its adapter to be loaded.
+    ``stalled_ms`` is how long the attempt waited for its adapter to load.
     """
 
     request_id: str
@@ -129,7 +129,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompleteAnswer:
-    """All ``count`` frames of the attempt were sent; complete the answer.
+    """Complete an answer; the attempt has sent all its ``count`` frames.
 
     The shell reports AnswerRelayed, or AnswerBroken if frames are missing.
     """
@@ -141,10 +141,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResumeAnswer:
-    """Ask the peer for the frames of an attempt that did not arrive.
+    """Ask the peer for the missing frames of an attempt.
 
-    The shell sends ``Resume`` with the next sequence number that its
-    receiver waits for, 0 if the answer has not begun.
+    The shell sends ``Resume`` with the next sequence number that it expects,
+    0 if the answer has not begun.
     """
 
     peer: str
@@ -153,9 +153,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BreakAnswer:
-    """The answer can't be completed: end the caller's stream with an error.
+    """End an incomplete answer: break off the caller's stream with an error.
 
-    Never a clean close, which a caller would take for a whole answer.
+    A caller would take a clean close for the end of a complete answer.
     """
 
     request_id: str
@@ -189,7 +189,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartRun:
-    """Give the request of an offer to the endpoint.
+    """Send the request of an offer to the endpoint.
 
     Answered by RunStarted and RunEnded, or RunFailed.
     """
@@ -211,8 +211,8 @@
 class ResendFrames:
     """Send the frames of a run again, from ``next_sequence`` on, to a peer.
 
-    What follows goes to this peer too; a link that was used for the attempt
-    before is out of date.
+    Later frames go to this peer too. They no longer go to the link that the
+    attempt used before.
     """
 
     attempt_id: str
@@ -222,7 +222,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForgetRun:
-    """Drop the frames that were kept for an attempt."""
+    """Discard the frames that are kept for an attempt."""
 
     attempt_id: str
 
@@ -232,7 +232,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadAdapters:
-    """Read what the endpoint holds; ``read`` numbers the reads.
+    """Read the endpoint's models and adapters; ``read`` numbers the reads.
 
     Answered by AdaptersReported or EndpointUnreachable.
     """
@@ -244,9 +244,9 @@
 class OrderAdapter:
     """Order the endpoint to load or unload a model or an adapter.
 
-    It is carried out only by this incarnation (``endpoint``), and only if
-    that has accepted no more than ``orders`` before.
-    Answered by OrderEnded.
+    The endpoint carries it out only if it is the incarnation ``endpoint``
+    and has accepted no more than ``orders`` orders before. Answered by
+    OrderEnded.
     """
 
     order_id: str
@@ -261,7 +261,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Count:
-    """Add to a metric of the table in ``metrics``."""
+    """Add ``value`` to a metric that is declared in ``metrics``."""
 
     name: str
     value: float = 1
@@ -279,7 +279,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Exit:
-    """Everything is finished: end the process with this code."""
+    """End the process with an exit code; all work is finished."""
 
     code: int
 
--- a/berylhollow/errors.py
+++ b/berylhollow/errors.py
@@ -1,11 +1,11 @@
-"""The closed list of error kinds and the answer that each one gives."""
+"""All error kinds and the answer that a caller gets for each."""
 
 import dataclasses
 import enum
 
 
 class Ran(enum.Enum):
-    """Whether the request that an answer speaks of has run."""
+    """Whether a request was run by an endpoint."""
 
     NOT_RUN = 'not_run'
     RAN = 'ran'
@@ -13,7 +13,7 @@
 
 
 class Retry(enum.Enum):
-    """What the caller may do next."""
+    """Whether and when the caller may retry."""
 
     NEVER = 'never'
     LATER = 'later'
@@ -22,7 +22,7 @@
 
 
 class Kind(enum.Enum):
-    """Every way in which a request can fail; nothing else is answered."""
+    """Every way in which a request can fail; callers get no other error."""
 
     ADAPTER_ABSENT = 'adapter_absent'
     ALREADY_RAN = 'already_ran'
@@ -65,10 +65,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller is told of one kind.
+    """The answer to a caller for one kind of error.
 
-    ``status`` is the HTTP status, ``ran`` what holds unless the failure
-    itself says more, ``title`` one readable sentence.
+    ``status`` is the HTTP status, ``ran`` applies unless the failure itself
+    is more specific, ``title`` is one readable sentence.
     """
 
     status: int
@@ -77,117 +77,120 @@
     title: str
 
 
-_NOT = Ran.NOT_RUN
-_MAYBE = Ran.UNKNOWN
+_NOT_RUN = Ran.NOT_RUN
+_UNKNOWN = Ran.UNKNOWN
 
 ANSWERS: dict[Kind, Answer] = {
     Kind.ADAPTER_ABSENT: Answer(
-        503, _NOT, Retry.LATER, 'The endpoint does not hold the adapter.'
+        503, _NOT_RUN, Retry.LATER, 'The endpoint does not hold the adapter.'
     ),
     Kind.ALREADY_RAN: Answer(
         409, Ran.RAN, Retry.NEVER, 'This key ran; its answer is not kept.'
     ),
     Kind.BAD_HEADER: Answer(
-        400, _NOT, Retry.CHANGED, 'A request header is not valid.'
+        400, _NOT_RUN, Retry.CHANGED, 'A request header is not valid.'
     ),
     Kind.BAD_REQUEST: Answer(
-        400, _NOT, Retry.CHANGED, 'The request is not valid.'
+        400, _NOT_RUN, Retry.CHANGED, 'The request is not valid.'
     ),
     Kind.BODY_TOO_LARGE: Answer(
-        413, _NOT, Retry.CHANGED, 'The request body is too large.'
+        413, _NOT_RUN, Retry.CHANGED, 'The request body is too large.'
     ),
     Kind.CALLER_LIMIT: Answer(
-        429, _NOT, Retry.LATER, 'The caller is over its limit.'
+        429, _NOT_RUN, Retry.LATER, 'The caller is over its limit.'
     ),
     Kind.CALLER_TOO_SLOW: Answer(
-        408, _NOT, Retry.LATER, 'The request was sent too slowly.'
+        408, _NOT_RUN, Retry.LATER, 'The request was sent too slowly.'
     ),
     Kind.CANCELLED: Answer(
-        499, _MAYBE, Retry.IF_IDEMPOTENT, 'The caller went away.'
+        499, _UNKNOWN, Retry.IF_IDEMPOTENT, 'The caller went away.'
     ),
     Kind.CANNOT_BE_ON_TIME: Answer(
-        503, _NOT, Retry.LATER, 'The request cannot be done by its deadline.'
+        503,
+        _NOT_RUN,
+        Retry.LATER,
+        'The request cannot be done by its deadline.',
     ),
     Kind.CLAIMS_UNAVAILABLE: Answer(
-        503, _NOT, Retry.LATER, 'The key cannot be claimed at present.'
+        503, _NOT_RUN, Retry.LATER, 'The key cannot be claimed at present.'
     ),
     Kind.CONFIGURATION_UNAVAILABLE: Answer(
-        503, _NOT, Retry.LATER, 'No configuration has been read yet.'
+        503, _NOT_RUN, Retry.LATER, 'No configuration has been read yet.'
     ),
     Kind.DEADLINE_EXCEEDED: Answer(
-        504, _MAYBE, Retry.IF_IDEMPOTENT, 'The deadline passed.'
+        504, _UNKNOWN, Retry.IF_IDEMPOTENT, 'The deadline passed.'
     ),
     Kind.ENDPOINT_FAILED: Answer(
-        502, _MAYBE, Retry.IF_IDEMPOTENT, 'The endpoint failed.'
+        502, _UNKNOWN, Retry.IF_IDEMPOTENT, 'The endpoint failed.'
     ),
     Kind.ENDPOINT_REPLACED: Answer(
-        503, _NOT, Retry.LATER, 'Another endpoint is at this address now.'
+        503, _NOT_RUN, Retry.LATER, 'Another endpoint is at this address now.'
     ),
     Kind.ENDPOINT_UNREACHABLE: Answer(
-        503, _NOT, Retry.LATER, 'The endpoint could not be reached.'
+        503, _NOT_RUN, Retry.LATER, 'The endpoint could not be reached.'
     ),
     Kind.ENGINE_RESTARTED: Answer(
-        502, _MAYBE, Retry.IF_IDEMPOTENT, 'The engine restarted.'
+        502, _UNKNOWN, Retry.IF_IDEMPOTENT, 'The engine restarted.'
     ),
     Kind.INTERNAL: Answer(
-        500, _MAYBE, Retry.IF_IDEMPOTENT, 'An unexpected failure.'
+        500, _UNKNOWN, Retry.IF_IDEMPOTENT, 'An unexpected failure.'
     ),
     Kind.KEY_IN_PROGRESS: Answer(
-        409, _MAYBE, Retry.LATER, 'A request with this key is running.'
+        409, _UNKNOWN, Retry.LATER, 'A request with this key is running.'
     ),
     Kind.KEY_REUSED: Answer(
-        422, _NOT, Retry.CHANGED, 'The key was used for another request.'
+        422, _NOT_RUN, Retry.CHANGED, 'The key was used for another request.'
     ),
     Kind.KEY_UNPROVEN: Answer(
-        503, _NOT, Retry.LATER, 'Whether the key still holds is not known.'
+        503, _NOT_RUN, Retry.LATER, 'Whether the key still holds is not known.'
     ),
     Kind.LEAVING: Answer(
-        503, _NOT, Retry.LATER, 'The process is shutting down.'
+        503, _NOT_RUN, Retry.LATER, 'The process is shutting down.'
     ),
     Kind.LOAD_FAILED: Answer(
-        503, _NOT, Retry.LATER, 'The adapter could not be loaded.'
+        503, _NOT_RUN, Retry.LATER, 'The adapter could not be loaded.'
     ),
     Kind.MALFORMED_JSON: Answer(
-        400, _NOT, Retry.CHANGED, 'The request body is not valid JSON.'
+        400, _NOT_RUN, Retry.CHANGED, 'The request body is not valid JSON.'
     ),
     Kind.METHOD_NOT_ALLOWED: Answer(
-        405, _NOT, Retry.CHANGED, 'The method is not allowed here.'
+        405, _NOT_RUN, Retry.CHANGED, 'The method is not allowed here.'
     ),
     Kind.NO_ENDPOINT: Answer(
-        503, _NOT, Retry.LATER, 'No endpoint of the service is live.'
+        503, _NOT_RUN, Retry.LATER, 'No endpoint of the service is live.'
     ),
     Kind.NOT_FOUND: Answer(
-        404, _NOT, Retry.CHANGED, 'There is nothing at this path.'
+        404, _NOT_RUN, Retry.CHANGED, 'There is nothing at this path.'
     ),
     Kind.OUTCOME_UNKNOWN: Answer(
-        502, _MAYBE, Retry.IF_IDEMPOTENT, 'Whether it ran is not known.'
+        502, _UNKNOWN, Retry.IF_IDEMPOTENT, 'Whether it ran is not known.'
     ),
     Kind.OVERLOADED: Answer(
-        503, _NOT, Retry.LATER, 'The service is overloaded.'
+        503, _NOT_RUN, Retry.LATER, 'The service is overloaded.'
     ),
     Kind.QUARANTINED: Answer(
-        422, _NOT, Retry.NEVER, 'This request has crashed endpoints.'
+        422, _NOT_RUN, Retry.NEVER, 'This request has crashed endpoints.'
     ),
     Kind.QUOTA_EXCEEDED: Answer(
-        429, _NOT, Retry.LATER, 'The workspace has used up its quota.'
+        429, _NOT_RUN, Retry.LATER, 'The workspace has used up its quota.'
     ),
     Kind.STREAM_BROKEN: Answer(
-        502, _MAYBE, Retry.IF_IDEMPOTENT, 'The answer ended early.'
+        502, _UNKNOWN, Retry.IF_IDEMPOTENT, 'The answer ended early.'
     ),
     Kind.UNKNOWN_ADAPTER: Answer(
-        404, _NOT, Retry.CHANGED, 'The adapter is not declared.'
+        404, _NOT_RUN, Retry.CHANGED, 'The adapter is not declared.'
     ),
     Kind.UNKNOWN_KEY: Answer(
-        401, _NOT, Retry.CHANGED, 'No valid key of a workspace was given.'
+        401, _NOT_RUN, Retry.CHANGED, 'No valid key of a workspace was given.'
     ),
     Kind.UNKNOWN_SERVICE: Answer(
-        404, _NOT, Retry.CHANGED, 'The service is not declared.'
+        404, _NOT_RUN, Retry.CHANGED, 'The service is not declared.'
     ),
     Kind.UNKNOWN_VERSION: Answer(
-        404, _NOT, Retry.CHANGED, 'The version is not declared.'
+        404, _NOT_RUN, Retry.CHANGED, 'The version is not declared.'
     ),
     Kind.UNSUPPORTED_MEDIA_TYPE: Answer(
-        415, _NOT, Retry.CHANGED, 'The content type is not supported.'
+        415, _NOT_RUN, Retry.CHANGED, 'The content type is not supported.'
     ),
     Kind.WRONG_ADAPTER: Answer(
         502, Ran.RAN, Retry.IF_IDEMPOTENT, 'The endpoint ran another adapter.'
@@ -196,9 +199,10 @@
 
 
 class BerylhollowError(Exception):
-    """A failure with its kind; the message is fit to show a user.
+    """A failure of a known kind, with a message that a user may see.
 
-    ``retry_after_ms`` is when the caller may come back, 0 if that is open.
+    ``retry_after_ms`` is how long the caller should wait before a retry, 0 if
+    that is not known.
     """
 
     def __init__(self, kind: Kind, message: str = '', retry_after_ms: int = 0):
--- a/berylhollow/events.py
+++ b/berylhollow/events.py
@@ -1,7 +1,7 @@
-"""Everything that a reducer can be told, one frozen class each.
+"""The events that a reducer takes as input, one frozen class each.
 
-A reducer knows the world from these events alone: each carries the time at
-which the shell saw it (``at_ms``) and, where one is needed, randomness.
+Events are a reducer's only input. Each carries the time at which the shell
+observed it (``at_ms``) and, where the reducer needs one, a random number.
 """
 
 import dataclasses
@@ -12,14 +12,14 @@
 
 
 class Certainty(enum.Enum):
-    """What is known of an action whose success was not reported."""
+    """What is known about an action whose success was not confirmed."""
 
     NOT_DONE = 'not_done'
     UNKNOWN = 'unknown'
 
 
 class Role(enum.Enum):
-    """What an instance runs."""
+    """The kind of process that an instance runs."""
 
     GATEWAY = 'gateway'
     ENDPOINT = 'endpoint'
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Started:
-    """The process starts; ``incarnation`` is new for every process."""
+    """The process has started; every process has its own ``incarnation``."""
 
     at_ms: int
     incarnation: str
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticked:
-    """Time has passed; ``seed`` is fresh randomness in [0, 1)."""
+    """A periodic timer fired; ``seed`` is a new random number in [0, 1)."""
 
     at_ms: int
     seed: float = 0.5
@@ -48,7 +48,7 @@
     at_ms: int
 
 
-# Links between our own processes.
+# Links between processes of this project.
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LinkClosed:
-    """A link is gone; what was sent may or may not have arrived."""
+    """A link was lost; messages sent on it may not have arrived."""
 
     at_ms: int
     peer: str
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LinkRefused:
-    """A link could not be opened: nothing was sent on it."""
+    """A link could not be opened, so nothing was sent on it."""
 
     at_ms: int
     peer: str
@@ -79,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A peer sent a message."""
+    """A message from a peer has arrived."""
 
     at_ms: int
     peer: str
@@ -91,15 +91,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Instance:
-    """One row of the platform's instance list.
-
-    A ``direct`` endpoint is sent requests at its own address, without a
-    sidecar between; ``capacity`` is how many it runs at once (0 if it does
-    not say); ``models`` and ``adapters`` are what it said it holds. Its
-    ``instance`` is the text of its ``incarnation``, so that one that starts
-    again under its old name is another row. ``until_ms`` is by when requests
-    must no longer be sent to one that is off the list and may come back; None
-    of one that is listed.
+    """One entry of the platform's instance list.
+
+    Requests to a ``direct`` endpoint go to its own address, without a
+    sidecar. ``capacity`` is how many requests it runs at once, 0 if it does
+    not say. ``models`` and ``adapters`` are those that it reports as loaded.
+    Its ``instance`` is the text of its ``incarnation``, so that an endpoint
+    that restarts under the same name is a new entry. ``until_ms`` is set for
+    an endpoint that is off the list but may come back: no requests may be
+    sent to it from that time on. It is None for a listed one.
     """
 
     instance: str
@@ -118,7 +118,7 @@
 
     @property
     def listed_name(self) -> str:
-        """Return the name in the list, which restarts have in common."""
+        """Return the name in the list, which stays the same over restarts."""
         if self.incarnation is None:
             return self.instance
         return self.incarnation.name
@@ -126,7 +126,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstancesListed:
-    """The instance list as the platform showed it, which lags."""
+    """The platform's instance list was read; it may be out of date."""
 
     at_ms: int
     instances: tuple[Instance, ...]
@@ -134,7 +134,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamPartRead:
-    """We have read a part of a stream that is shared with others."""
+    """This process read part of a stream whose reads are shared."""
 
     at_ms: int
     part: messages.StreamPart
@@ -142,14 +142,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogRead:
-    """Records of a stream, in order from the offset that was asked for.
-
-    ``first_offset`` is the oldest kept one, ``next_offset`` where to read
-    on. Records older than ``first_offset`` are gone. Offsets of two ``era``
-    can't be compared. ``begun_ms`` is when the read was begun, None if
-    another process made it; with ``whole`` the log held nothing more then.
-    ``from_offset`` is the one that was asked for, None for the newest record
-    of each key.
+    """Records of a stream were read, in order from the requested offset.
+
+    ``first_offset`` is the oldest one that is still kept; records before it
+    have been deleted. ``next_offset`` is where the next read starts. Offsets
+    of different ``era`` can't be compared. ``begun_ms`` is when the read
+    began, None if another process made it. ``whole`` means that the log held
+    no further records then. ``from_offset`` is the requested offset, None if
+    the newest record of each key was requested.
     """
 
     at_ms: int
@@ -165,7 +165,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogChecked:
-    """What came of a read that was made for its time; None if it failed."""
+    """The result of a ``CheckLog`` read; ``read`` is None if it failed."""
 
     at_ms: int
     stream: str
@@ -174,9 +174,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogReadFailed:
-    """A stream could not be read; the log is down, slow or trimmed.
+    """A stream could not be read: the log is down, slow or trimmed.
 
-    ``first_offset`` is set when the offset asked for is no longer kept.
+    ``first_offset`` is set if the requested offset is no longer kept.
     """
 
     at_ms: int
@@ -186,7 +186,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Appended:
-    """The log took a record at an offset."""
+    """The log stored a record at ``offset``."""
 
     at_ms: int
     stream: str
@@ -196,9 +196,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppendFailed:
-    """The log did not confirm a record.
+    """The log did not confirm an append.
 
-    With UNKNOWN certainty the record may be there, or may still come.
+    With UNKNOWN certainty the record may be stored already, or later.
     """
 
     at_ms: int
@@ -207,15 +207,15 @@
     certainty: Certainty
 
 
-# Callers, at a gateway.
+# Callers of a gateway.
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestHead:
-    """What the head of a request says before its body is read.
+    """What is known of a request before its body is read.
 
     ``credential`` is the digest of the caller's key, None without a usable
-    one. ``tokens`` are those of the prompt and the answer, 0 if not told.
+    one. ``tokens`` counts prompt and answer together, 0 if not given.
     """
 
     host: str
@@ -226,12 +226,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """What a caller asked for, checked for form only.
+    """A caller's request; only its syntax has been checked.
 
     ``deadline_ms`` is a duration from arrival. ``key`` is the caller's
-    idempotency key and makes the request non-idempotent; so does a route
-    whose requests are not ``repeatable``. Where the caller names no version
-    of its adapter, that of ``adapter`` is empty until it is resolved.
+    idempotency key. A request with a key is not idempotent, nor is one on a
+    route whose requests are not ``repeatable``. If the caller names no
+    version, that of ``adapter`` is empty until it is resolved.
     ``credential`` is the digest of the caller's key, None without a usable
     one.
     """
@@ -270,7 +270,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A caller sent a request; ``seed`` is fresh randomness in [0, 1)."""
+    """A request arrived; ``seed`` is a new random number in [0, 1)."""
 
     at_ms: int
     request: Request
@@ -281,7 +281,7 @@
 class HeadRefused:
     """A request was refused before its body was read.
 
-    ``shown_id`` is the id by which its caller knows it.
+    ``shown_id`` is the request id that the caller sees.
     """
 
     at_ms: int
@@ -293,7 +293,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerGone:
-    """The caller closed its connection before its answer was whole."""
+    """The caller closed its connection before the answer was complete."""
 
     at_ms: int
     request_id: str
@@ -303,8 +303,8 @@
 class AnswerRelayed:
     """The whole answer of an attempt has been passed to the caller.
 
-    ``body`` is kept only for a request with a key, and only while it is
-    small enough to be stored; otherwise it is None.
+    ``body`` is set only for a request with a key whose answer is small
+    enough to be stored; otherwise it is None.
     """
 
     at_ms: int
@@ -317,25 +317,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerBroken:
-    """The frames of an attempt can't be completed (gap or cut short)."""
+    """An attempt's answer is incomplete: frames are missing or cut off."""
 
     at_ms: int
     request_id: str
     attempt_id: str
 
 
-# The endpoint, at a gateway that sends requests to it directly.
+# An endpoint to which a gateway sends requests directly.
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointNotice:
-    """What an endpoint says of itself in an answer.
+    """What an endpoint says about itself in an answer.
 
-    ``leaving`` tells that it takes no new work any more. ``rate_per_s`` is how
-    many requests a second it takes from all gateways together, None if it
-    names no limit. With ``pause_ms`` it has turned the request away and wants
-    none from this gateway for so long. ``malformed`` holds what was not
-    understood, which says nothing.
+    ``leaving`` means that it accepts no new work. ``rate_per_s`` is how many
+    requests a second it accepts from all gateways together, None if it names
+    no limit. With ``pause_ms`` it has rejected the request and wants none
+    from this gateway for that long. ``malformed`` holds the values that could
+    not be parsed; they have no effect.
     """
 
     leaving: bool = False
@@ -352,8 +352,8 @@
 class NoticeReceived:
     """An endpoint answered a request that was sent at ``sent_ms``.
 
-    Whatever becomes of the request: answers overtake each other, so the one
-    to the request that was sent last is the newest.
+    The notice counts whether or not the request succeeds. Answers may arrive
+    out of order: the newest notice is the one with the latest ``sent_ms``.
     """
 
     at_ms: int
@@ -362,12 +362,12 @@
     notice: EndpointNotice
 
 
-# The endpoint, at its sidecar.
+# The endpoint of a sidecar.
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotState:
-    """A slot as the engine itself reports it, with a lag."""
+    """An adapter slot as the engine reports it, possibly out of date."""
 
     slot: int
     adapter: messages.AdapterVersion | None
@@ -376,7 +376,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """What the engine published of itself, with a lag."""
+    """The engine's published status, possibly out of date."""
 
     at_ms: int
     epoch: str
@@ -390,7 +390,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointUnreachable:
-    """The endpoint did not answer a status question."""
+    """The endpoint did not answer a request for its status."""
 
     at_ms: int
     reason: str = ''
@@ -407,7 +407,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadFailed:
-    """A load order failed; with UNKNOWN it may still take effect."""
+    """A load order failed; with UNKNOWN it may still take effect later."""
 
     at_ms: int
     order_id: str
@@ -428,7 +428,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunStarted:
-    """The endpoint answered with a head; ``adapter`` is what it runs."""
+    """The head of an answer arrived; ``adapter`` is what the endpoint runs."""
 
     at_ms: int
     attempt_id: str
@@ -440,7 +440,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunEnded:
-    """The endpoint's answer is whole; ``count`` frames carried it."""
+    """The endpoint's answer is complete, in ``count`` frames."""
 
     at_ms: int
     attempt_id: str
@@ -449,10 +449,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunFailed:
-    """A run ended without a whole answer.
+    """A run ended without a complete answer.
 
-    ``ran`` is NOT_RUN only when the endpoint said so or nothing was sent.
-    ``crashed`` tells that the connection broke as in a crash.
+    ``ran`` is NOT_RUN only if the endpoint said so or nothing was sent.
+    ``crashed`` means that the connection broke as it does in a crash.
     """
 
     at_ms: int
@@ -464,24 +464,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelConfirmed:
-    """The endpoint confirmed that a cancelled run is over."""
+    """The endpoint confirmed that a cancelled run has ended."""
 
     at_ms: int
     attempt_id: str
 
 
-# A direct endpoint, at the loader beside it.
+# The direct endpoint of a loader.
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdaptersReported:
-    """What the endpoint held when read ``read`` was answered.
-
-    ``orders`` is how many it has accepted since it started, ``started_ms``
-    when that was by its own word (0 if it does not say). Adapters in
-    ``loading`` take their places already. While it is ``busy`` with a model
-    it takes no other order. ``at_hand`` are the models that it can load
-    without the weight store.
+    """The endpoint's models and adapters, as the answer to a read.
+
+    ``read`` is the number of that read. ``orders`` is how many orders the
+    endpoint has accepted since it started, ``started_ms`` the start time
+    that it reports (0 if it does not say). Adapters in ``loading`` already
+    occupy their slots. While it is ``busy`` with a model it accepts no other
+    order. ``at_hand`` are the models that it can load without the weight
+    store.
     """
 
     at_ms: int
@@ -498,9 +499,10 @@
 
 
 class OrderVerdict(enum.Enum):
-    """What became of an order.
+    """The outcome of an order.
 
-    LOST has no answer: it may have been accepted, or may be later.
+    LOST means that no answer came: the order may have been accepted, or may
+    still be.
     """
 
     ACCEPTED = 'accepted'
@@ -514,7 +516,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderEnded:
-    """An order was answered, or will not be."""
+    """An order was answered, or no answer will come."""
 
     at_ms: int
     order_id: str
--- a/berylhollow/logs.py
+++ b/berylhollow/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line on stderr."""
+"""Structured logs on stderr: one JSON object per line."""
 
 import atexit
 import collections.abc
@@ -14,43 +14,48 @@
 
 LOG = logging.getLogger(__name__)
 
-QUEUE_LINES = 10_000
-LINES_PER_S = 500
-"""A gateway writes about three lines a request and serves some tens a second;
-the limit is for floods, and costs 3% of a core at the most."""
+MAX_QUEUED_LINES = 10_000
+MAX_LINES_PER_S = 500
+"""Limits floods of lines: at this rate, logging takes 3% of a core at most. A
+gateway writes about three lines per request and serves some tens of requests
+a second, so ordinary load stays below it."""
 
-FLUSH_S = 2.0
+FLUSH_TIMEOUT_S = 2.0
 
-RENAMED = {
+RENAMED_FIELDS = {
     'asctime': 'time',
     'levelname': 'level',
     'name': 'logger',
 }
-# ``extra`` may not hold a key that a log record has of its own.
-RECORD_KEYS = frozenset(vars(logging.makeLogRecord({}))) | {
+# Logging raises if ``extra`` has a key that is an attribute of a log record.
+RECORD_ATTRIBUTES = frozenset(vars(logging.makeLogRecord({}))) | {
     'message',
     'asctime',
 }
 
 
 class Formatter(pythonjsonlogger.json.JsonFormatter):
-    """A line with the time in UTC, to the millisecond."""
+    """Formats a record as JSON, with its time in UTC to the millisecond."""
 
-    def formatTime(  # noqa: N802 - the name that logging calls
+    def formatTime(  # noqa: N802 - overrides a method of logging
         self, record: logging.LogRecord, datefmt: str | None = None
     ) -> str:
-        time = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
-        return time.isoformat(timespec='milliseconds').replace('+00:00', 'Z')
+        utc_time = datetime.datetime.fromtimestamp(
+            record.created, datetime.UTC
+        )
+        return utc_time.isoformat(timespec='milliseconds').replace(
+            '+00:00', 'Z'
+        )
 
 
 class QueuedHandler(logging.Handler):
-    """Write lines from a thread of its own; drop them when it falls behind.
+    """Writes lines in a separate thread and drops them if its queue is full.
 
-    Standard error may be a pipe whose reader has stalled. A write to it then
-    blocks, and from the event loop it would block every request with it.
+    Standard error may be a pipe whose reader has stalled. A write then
+    blocks, and a write from the event loop would block every request.
     """
 
-    def __init__(self, stream: typing.TextIO, limit: int = QUEUE_LINES):
+    def __init__(self, stream: typing.TextIO, limit: int = MAX_QUEUED_LINES):
         super().__init__()
         self.stream = stream
         self.dropped = 0
@@ -75,54 +80,54 @@
                 self.stream.flush()
 
     def close(self) -> None:
-        """Write what is queued, but don't wait on a stalled reader."""
+        """Write the queued lines, but give up soon on a stalled reader."""
         try:
-            self.lines.put(None, timeout=FLUSH_S)
-            self.writer.join(FLUSH_S)
+            self.lines.put(None, timeout=FLUSH_TIMEOUT_S)
+            self.writer.join(FLUSH_TIMEOUT_S)
         except queue.Full:
             pass
         super().close()
 
 
-class VolumeLimit(logging.Filter):
-    """Let so many lines a second through, and say how many were left out.
+class RateLimitFilter(logging.Filter):
+    """Limits the lines per second and reports how many it has dropped.
 
-    Guards against a flood that costs the processor what requests need: each
-    line costs about 60 microseconds, so the limit bounds that to a few
-    percent of a core. Warnings have a limit of their own, so that no flood
-    of ordinary lines hides them.
+    A flood of lines would take processor time from requests. Each line costs
+    about 60 microseconds, so the limit keeps logging to a few percent of a
+    core. Warnings and errors have a separate limit, so that a flood of
+    ordinary lines does not displace them.
     """
 
     def __init__(
         self,
-        lines_per_s: int = LINES_PER_S,
+        lines_per_s: int = MAX_LINES_PER_S,
         now_s: collections.abc.Callable[[], float] = time.monotonic,
     ):
         super().__init__()
         self.lines_per_s = lines_per_s
         self.now_s = now_s
         self.second = 0
-        self.passed = {False: 0, True: 0}
-        self.left_out = 0
+        self.passed_by_severity = {False: 0, True: 0}
+        self.suppressed = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Tell whether a line is written; note what was left out before."""
+        """Tell whether to write a line; add the count of dropped ones."""
         second = int(self.now_s())
         if second != self.second:
-            self._next_second(second, record)
-        grave = record.levelno >= logging.WARNING
-        if self.passed[grave] >= self.lines_per_s:
-            self.left_out += 1
+            self._start_second(second, record)
+        is_severe = record.levelno >= logging.WARNING
+        if self.passed_by_severity[is_severe] >= self.lines_per_s:
+            self.suppressed += 1
             return False
-        self.passed[grave] += 1
+        self.passed_by_severity[is_severe] += 1
         return True
 
-    def _next_second(self, second: int, record: logging.LogRecord) -> None:
+    def _start_second(self, second: int, record: logging.LogRecord) -> None:
         self.second = second
-        self.passed = {False: 0, True: 0}
-        if self.left_out:
-            record.lines_left_out = self.left_out
-            self.left_out = 0
+        self.passed_by_severity = {False: 0, True: 0}
+        if self.suppressed:
+            record.lines_left_out = self.suppressed
+            self.suppressed = 0
 
 
 def configure(
@@ -133,15 +138,15 @@
 ) -> QueuedHandler:
     """Send all logs of the process to stderr as JSON.
 
-    ``level`` is one of ``settings.LogLevel``. Called again, it replaces the
-    handler that was there.
+    ``level`` is one of ``settings.LogLevel``. A second call replaces the
+    handler of the first.
     """
     handler = QueuedHandler(stream or sys.stderr)
-    handler.addFilter(VolumeLimit())
+    handler.addFilter(RateLimitFilter())
     handler.setFormatter(
         Formatter(
             ['asctime', 'levelname', 'name', 'message'],
-            rename_fields=RENAMED,
+            rename_fields=RENAMED_FIELDS,
             static_fields={'role': role, 'instance': instance},
         )
     )
@@ -151,15 +156,15 @@
         old.close()
     root.addHandler(handler)
     root.setLevel(level.upper())
-    # It tells of each connection at the level at which we tell of requests;
-    # our links say what matters of theirs.
+    # The library logs every connection at INFO, the level of our request
+    # lines. The ``link`` package logs the relevant events itself.
     logging.getLogger('websockets').setLevel(logging.WARNING)
     atexit.register(handler.close)
     return handler
 
 
 def dropped() -> int:
-    """Return how many lines this process has dropped."""
+    """Return the number of log lines that this process has dropped."""
     return sum(
         handler.dropped
         for handler in logging.getLogger().handlers
@@ -170,13 +175,13 @@
 def extra(
     fields: collections.abc.Iterable[tuple[str, object]],
 ) -> dict[str, object]:
-    """Return fields as the ``extra`` of a logging call, without None.
+    """Return fields as the ``extra`` of a logging call, without None values.
 
-    A name that a log record has of its own gets ``field_`` before it, where
-    logging would raise.
+    Names that are attributes of log records get the prefix ``field_``, since
+    logging raises for them.
     """
     return {
-        f'field_{name}' if name in RECORD_KEYS else name: value
+        f'field_{name}' if name in RECORD_ATTRIBUTES else name: value
         for name, value in fields
         if value is not None
     }
--- a/berylhollow/messages.py
+++ b/berylhollow/messages.py
@@ -1,8 +1,8 @@
-"""Messages between our own processes, one frozen class each.
+"""Messages between processes of this project, one frozen class each.
 
-On the wire a message is an array of its tag and its fields in order. Fields
-are only ever appended, with a default, so that two software versions can
-talk to each other.
+On the wire a message is an array of its tag and its fields in order. New
+fields are always appended and have a default, so that processes of different
+software versions can exchange messages.
 """
 
 import dataclasses
@@ -13,17 +13,17 @@
 
 
 START_SEPARATOR = '@'
-"""Between the name and the start in the text of an incarnation."""
+"""Separates the name and the start time in an incarnation's text."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Incarnation:
-    """One start of an endpoint: the name that it is listed under, and when.
+    """One start of an endpoint: its listed name and its start time.
 
-    An endpoint may start again under its old name, and then holds and knows
-    nothing of before. ``started_ms`` is Unix time by its own clock, 0 if it
-    does not say. It is only compared for being the same: that clock may have
-    been set back between two starts.
+    An endpoint may restart under the same name, and has then lost all its
+    earlier state. ``started_ms`` is Unix time by the endpoint's own clock, 0
+    if it does not say. Compare it only for equality: the clock may have been
+    set back between two starts.
     """
 
     name: str
@@ -36,7 +36,7 @@
 
     @staticmethod
     def is_start_of(text: str, name: str) -> bool:
-        """Tell whether a text is that of some known start of a name."""
+        """Tell whether ``text`` is an incarnation of ``name`` with a time."""
         named, separator, _ = text.rpartition(START_SEPARATOR)
         return bool(separator) and named == name
 
@@ -66,9 +66,9 @@
 
     ``remaining_ms`` counts from the moment of sending, since instances do
     not share a clock. ``fingerprint`` is a digest of service, adapter,
-    version and body. ``isolate`` asks for a run with nothing beside it: the
-    request is suspect of crashing endpoints. ``another`` tells that a run
-    that fails may be followed by another one.
+    version and body. ``isolate`` asks that no other request runs at the same
+    time, as this one is suspected of crashing endpoints. ``another`` means
+    that the gateway may make another attempt if this one fails.
     """
 
     attempt_id: str
@@ -94,14 +94,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cancel:
-    """The gateway no longer wants the attempt."""
+    """The gateway cancels an attempt."""
 
     attempt_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resume:
-    """After a broken link: send again from ``next_sequence`` on."""
+    """Asks for all frames from ``next_sequence`` on, after a lost link."""
 
     attempt_id: str
     next_sequence: int
@@ -109,7 +109,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Acknowledge:
-    """Everything before ``next_sequence`` has arrived."""
+    """Confirms that all frames before ``next_sequence`` have arrived."""
 
     attempt_id: str
     next_sequence: int
@@ -117,11 +117,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Started:
-    """The endpoint began to answer; the head of its answer.
+    """The head of the answer: the endpoint began to answer.
 
-    ``adapter`` is what the endpoint says it runs, checked by the sidecar
-    against the name in the offer before this is sent. ``stalled_ms`` is how
-    long the attempt waited for its adapter to be loaded.
+    ``adapter`` is what the endpoint says it runs. The sidecar checks it
+    against the offer before it sends this message. ``stalled_ms`` is how long
+    the attempt waited for its adapter to load.
     """
 
     attempt_id: str
@@ -142,7 +142,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class End:
-    """The answer is whole: ``count`` data messages came before."""
+    """The answer is complete; it had ``count`` data messages."""
 
     attempt_id: str
     count: int
@@ -150,10 +150,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """The attempt has ended without a whole answer.
+    """The attempt ended without a complete answer.
 
     ``ran`` is NOT_RUN only if the sidecar knows that the endpoint never
-    began it.
+    started the request.
     """
 
     attempt_id: str
@@ -165,7 +165,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotReport:
-    """One adapter slot as the sidecar knows it."""
+    """The state of one adapter slot, as its sidecar knows it."""
 
     slot: int
     adapter: AdapterVersion | None
@@ -174,7 +174,7 @@
 
 
 class ModelLoad(enum.Enum):
-    """How far an endpoint is with its model from the weight store."""
+    """The state of an endpoint's model load from the weight store."""
 
     NONE = 'none'
     NEEDED = 'needed'
@@ -183,17 +183,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What a sidecar tells its gateways of its endpoint now and then.
-
-    A hint only. ``capacity`` is how many requests run at once, ``queued``
-    counts those waiting for a slot, a load or room; ``wanted`` names the
-    adapters that requests wait for. ``run_ms`` is how long a run takes of
-    late, ``evictable`` tells that a slot is free for a load, which would
-    cost the endpoint ``victim_value`` in expected requests a second.
-    ``gateways`` is how many have a link to the sidecar. ``model_load`` says
-    whether the endpoint still needs its model from the weight store.
-    ``waiting_tokens`` adds up the prompts that all gateways sent there and
-    whose answers have not begun, as they last told.
+    """A sidecar's periodic report on its endpoint to its gateways.
+
+    It is a hint and may be out of date. ``capacity`` is how many requests run
+    at once, ``queued`` counts those that wait for a slot, a load or capacity,
+    and ``wanted`` names the adapters that requests wait for. ``run_ms`` is
+    the recent duration of a run. ``evictable`` means that a slot is free or
+    can be freed for a load, which costs the endpoint ``victim_value`` expected
+    requests a second. ``gateways`` is how many have a link to the sidecar.
+    ``model_load`` says whether the endpoint still needs its model from the
+    weight store. ``waiting_tokens`` is the sum of the prompt tokens that
+    gateways last reported for requests sent there and not yet answered.
     """
 
     instance: str
@@ -231,7 +231,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadGranted:
-    """The coordinator lets the sidecar load; lapses by itself."""
+    """The coordinator grants a permit to load, which expires by itself."""
 
     adapter: AdapterVersion
     permit: int
@@ -240,9 +240,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadDeferred:
-    """The coordinator knows of the wish and will grant it in its turn.
+    """The coordinator has queued a request for a permit to load.
 
-    ``for_ms`` is how long that may take, a guess.
+    ``for_ms`` is the estimated time until it is granted.
     """
 
     adapter: AdapterVersion
@@ -251,7 +251,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadEnded:
-    """The sidecar gives its permit back, used or not."""
+    """The sidecar returns its permit, whether it was used or not."""
 
     instance: str
     permit: int
@@ -260,11 +260,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdapterDemand:
-    """What one gateway needs of an adapter at one endpoint.
+    """One gateway's demand for one adapter at one endpoint.
 
     ``adapter`` has the newest version that is to be served. ``waiting``
-    requests wait for it, ``in_flight`` may be using it, and ``rate`` more a
-    second are expected.
+    counts the requests that wait for it, ``in_flight`` those that may be
+    using it, and ``rate`` is how many more a second are expected.
     """
 
     adapter: AdapterVersion
@@ -275,15 +275,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdapterDemands:
-    """All that a gateway needs of adapters at one endpoint, now.
-
-    ``endpoint`` and ``started_ms`` name its incarnation as the gateway has it
-    from the list, ``slots`` is how many adapters it can hold, ``models`` are
-    those that its service needs. With ``hold_model`` other endpoints come
-    first with loading theirs from the weight store. ``waiting_tokens`` are
-    those of the prompts that the gateway sent there and whose answers have
-    not begun. With ``shares_reads`` the gateway wants to be told what others
-    read of the platform's log. ``revision`` is that of its configuration.
+    """One gateway's current demand for all adapters at one endpoint.
+
+    ``endpoint`` and ``started_ms`` name its incarnation as in the instance
+    list, ``slots`` is how many adapters it can hold, ``models`` are those
+    that its service needs. With ``hold_model`` other endpoints load their
+    models from the weight store first. ``waiting_tokens`` counts the tokens
+    of prompts that the gateway sent there and whose answers have not begun.
+    With ``shares_reads`` the gateway wants to receive what others read from
+    the platform's log. ``revision`` is that of the gateway's configuration.
     """
 
     endpoint: str
@@ -299,17 +299,17 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return the incarnation of the endpoint that this is about."""
+        """Return the endpoint's incarnation."""
         return Incarnation(self.endpoint, self.started_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamPart:
-    """Records of the platform's log that one gateway read, for the others.
+    """Records of the platform's log that a gateway read for the others.
 
-    ``records`` are those from ``from_offset`` up to before ``next_offset``;
-    without any, nothing was new. ``reader`` names the gateway, ``era`` is
-    that of the log in which the offsets hold.
+    ``records`` are those from ``from_offset`` up to but not including
+    ``next_offset``; it is empty if there were no new ones. ``reader`` names
+    the gateway, ``era`` is the era of the log in which the offsets are valid.
     """
 
     stream: str
@@ -322,16 +322,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaUses:
-    """What a gateway has used of the quotas of workspaces, by its count."""
+    """What one gateway has counted against the quotas of workspaces."""
 
     uses: tuple[workspaces.Use, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaSums:
-    """What all gateways have used, as a sidecar adds it up.
+    """The quota usage of all gateways, as added up by a sidecar.
 
-    ``book`` names the start of the sidecar: sums of two can't be compared.
+    ``book`` identifies the sidecar's start: sums from two different starts
+    can't be compared.
     """
 
     book: str
@@ -340,9 +341,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RateWanted:
-    """A gateway asks for requests to an endpoint that has named a limit.
+    """A gateway asks how many requests it may send to a limited endpoint.
 
-    ``rate_per_s`` is what the endpoint takes, as the gateway last heard.
+    ``rate_per_s`` is the endpoint's rate limit as last known to the gateway.
     """
 
     endpoint: str
@@ -354,7 +355,7 @@
 class RateLent:
     """How many requests a gateway may send to an endpoint.
 
-    ``wait_ms`` is when there is room again if there is none now.
+    If the limit is reached, ``wait_ms`` is the time until more are allowed.
     """
 
     endpoint: str
@@ -375,8 +376,9 @@
 class ConfigurationAt:
     """How far the sender has read the configuration.
 
-    ``age_ms`` is how long ago the log is known to have held no more than
-    this, -1 if that is not known. A ``wanted`` one asks for what follows.
+    ``age_ms`` is how long ago the log is known to have held no later records,
+    -1 if that is not known. With ``wanted`` the sender asks for the records
+    from ``next_offset`` on.
     """
 
     instance: str
@@ -396,14 +398,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationSnapshot:
-    """A whole configuration, for a peer that lags behind retention."""
+    """A whole configuration, for a peer that lags behind log retention."""
 
     data: bytes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crashed:
-    """An endpoint crashed while these fingerprints ran on it.
+    """An endpoint crashed while requests with these fingerprints ran.
 
     ``crash_id`` names the endpoint and the epoch that ended.
     """
@@ -417,7 +419,7 @@
 class ClaimsForwarded:
     """Entries for a claims partition, for its leader to append.
 
-    ``batch`` is a record as in ``claims``.
+    ``batch`` is an encoded record as defined in ``claims``.
     """
 
     partition: int
@@ -427,7 +429,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimsTaken:
-    """The entries of a forwarded batch are on the log."""
+    """The entries of a forwarded batch have been appended to the log."""
 
     partition: int
     batch_id: str
@@ -435,10 +437,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimDecided:
-    """What the log says of a forwarded claim.
+    """The outcome of a forwarded claim, as recorded in the log.
 
-    If it ``holds`` its key nothing else matters; else ``kind`` and ``ran``
-    are the answer, or ``status`` other than 0 begins a stored one.
+    If the claim ``holds`` its key, the other fields have no meaning. If not,
+    a ``status`` other than 0 means a stored answer in ``status``, ``headers``
+    and ``body``; with 0 the answer is the error in ``kind`` and ``ran``.
     """
 
     partition: int
@@ -481,7 +484,7 @@
     | RateLent
 )
 
-# A tag is never given to another message once it was released.
+# A tag that has been released is never reused for another message.
 TAGS: dict[int, type] = {
     1: Offer,
     2: Cancel,
--- a/berylhollow/outgoing.py
+++ b/berylhollow/outgoing.py
@@ -1,7 +1,8 @@
-"""Outgoing HTTP calls of which it is known whether they took effect.
+"""Outgoing HTTP calls whose errors say whether the call took effect.
 
-Every failure is one of three: ``NotDone`` if no byte of the call left,
-``Refused`` if the server said no before doing anything, else ``MaybeDone``.
+Every failure is one of three: ``NotDone`` if no byte of the call was sent,
+``Refused`` if the server rejected the call before it did anything, else
+``MaybeDone``.
 """
 
 import dataclasses
@@ -19,34 +20,36 @@
 CALL_TIMEOUT_MS = 5000
 MS_PER_SECOND = 1000
 BUFFER_BYTES = 128 * 1024
-SILENCE_MS = 2000
-"""After so long without a sign from the other side a connection is dead. A
-lost packet is sent again after 0.2, 0.4 and 0.8 s, so one in thirty that are
-lost don't end it; callers leave a stream that pauses for 2 s."""
+PEER_TIMEOUT_MS = 2000
+"""A connection is closed when the peer has been silent for this long. TCP
+retransmits a lost packet after 0.2, 0.4 and 0.8 s, so a loss of one packet in
+thirty does not end a connection. Callers abandon a stream that pauses for
+2 s."""
 
-PROBE_S = 1
-"""An idle connection is probed as often, the least that TCP counts in."""
+KEEPALIVE_INTERVAL_S = 1
+"""Idle time and interval of keep-alive probes: the minimum for TCP."""
 
+# SO_LINGER with a timeout of 0: a close resets the connection.
 RESET_ON_CLOSE = struct.pack('ii', 1, 0)
-REFUSING_STATUSES = frozenset({400, 404, 405, 409, 410, 413, 422, 429, 503})
+REFUSAL_STATUSES = frozenset({400, 404, 405, 409, 410, 413, 422, 429, 503})
 
 
 class CallError(Exception):
-    """A call that brought no answer, or one that says no."""
+    """A call that got no complete answer, or an unsuccessful one."""
 
 
 class NotDone(CallError):
-    """The connection could not be opened: the call was never sent."""
+    """The connection could not be opened, so the call was not sent."""
 
 
 class MaybeDone(CallError):
-    """The call may have left and no whole answer came back."""
+    """The call may have been sent and got no conclusive answer."""
 
 
 class Refused(CallError):
-    """The server refused the call, which has taken no effect.
+    """The server refused the call, which took no effect.
 
-    ``kind`` is the server's own code, ``detail`` the rest of its answer.
+    ``kind`` is the server's error code, ``detail`` its JSON answer.
     """
 
     def __init__(self, kind: str, status: int, detail: dict | None = None):
@@ -58,51 +61,50 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer."""
+    """A complete answer: its status and its body."""
 
     status: int
     body: bytes
 
     def value(self) -> dict:
-        """Return the JSON object of the body; ``MaybeDone`` if none."""
+        """Return the body's JSON object; raises MaybeDone if it is none."""
         try:
             value = json.loads(self.body)
         except ValueError as error:
-            raise MaybeDone('the answer is not JSON') from error
+            raise MaybeDone('the answer is not valid JSON') from error
         if not isinstance(value, dict):
             raise MaybeDone('the answer is not a JSON object')
         return value
 
 
 class Connection(client_proto.ResponseHandler):
-    """A connection that tells a reset from a close, and drops what it holds.
+    """A connection that tells a reset from a close, and aborts on close.
 
-    libuv reports the end of a connection when a reset arrives together with
-    the last bytes, and does not look further. Guards against a crashed
-    endpoint whose half answer, without a length, looks whole: what the
-    kernel says to a read of the socket is the truth.
+    If a reset arrives together with the last bytes, libuv reports a plain end
+    of the connection. A crashed endpoint's partial answer without a length
+    would then look complete. A read from the socket itself returns the reset.
     """
 
-    reset = False
+    peer_reset = False
 
     def close(self) -> None:
-        """Close without sending what is still held here."""
+        """Close at once and discard the data that is not sent yet."""
         self.abort()
 
     def eof_received(self) -> None:
-        """Look whether the connection was closed, or reset."""
-        opened = self.transport.get_extra_info('socket')
-        # The transport's own socket can't be read; a copy of it can.
-        with socket.socket(fileno=os.dup(opened.fileno())) as copy:
+        """Check whether the peer closed or reset the connection."""
+        opened_socket = self.transport.get_extra_info('socket')
+        # The transport's socket object can't be read; a duplicate can.
+        with socket.socket(fileno=os.dup(opened_socket.fileno())) as copy:
             try:
                 copy.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
             except OSError:
-                self.reset = True
+                self.peer_reset = True
         super().eof_received()
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """End with an error if the connection was reset."""
-        if exc is None and self.reset:
+        if exc is None and self.peer_reset:
             exc = ConnectionResetError('reset by the peer')
         super().connection_lost(exc)
 
@@ -116,11 +118,11 @@
 
 
 class Response(aiohttp.ClientResponse):
-    """A response that remembers its connection.
+    """A response that knows whether its connection was reset.
 
-    The library takes the end of a connection for the end of a body without
-    a length, also when the connection was reset. Guards against an answer
-    that was cut off and looks whole.
+    For a body without a length, aiohttp takes the end of the connection for
+    the end of the body, even after a reset. A truncated answer would then
+    look complete.
     """
 
     protocol: typing.Any = None
@@ -131,7 +133,7 @@
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether only the end of the connection ends the body."""
+        """Whether only the end of the connection marks the body's end."""
         coding = self.headers.get('Transfer-Encoding', '')
         return self.content_length is None and coding.lower() != 'chunked'
 
@@ -141,17 +143,16 @@
         return isinstance(self.protocol.exception(), OSError)
 
 
-async def send_once(
+async def send_without_retry(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Send a request and turn its failures into ours.
-
-    Guards against a call that runs twice. aiohttp sends GET, PUT, DELETE
-    and the like again when a connection breaks before the answer, also when
-    the server had read the request: a PUT that must not be repeated would
-    show as two runs in the server's record. It does so on its own kinds of
-    error only, and none of those leaves this function but for a failed
-    connect, which it does not repeat.
+    """Send a request and convert errors so that aiohttp does not retry it.
+
+    If a connection breaks before the answer, aiohttp repeats GET, PUT, DELETE
+    and other idempotent methods, even if the server has read the request. A
+    PUT that must not be repeated would then run twice. aiohttp retries on its
+    own exception types only. None of these leaves this function except for a
+    failed connect, which aiohttp does not retry.
     """
     try:
         return await handler(request)
@@ -166,8 +167,8 @@
 ) -> aiohttp.ClientSession:
     """Return a session that sends each call at most once.
 
-    Without ``reuse`` every call has a connection of its own. Of an answer
-    that its reader does not take, about ``buffer_bytes`` are held here, and
+    Without ``reuse`` every call opens its own connection. If an answer is
+    not read, about ``buffer_bytes`` of it are buffered in this process, and
     as much again in the kernel.
     """
     connector = Connector(
@@ -177,9 +178,9 @@
     )
     return aiohttp.ClientSession(
         connector=connector,
-        # The library holds up to twice this before it stops to read.
+        # aiohttp buffers up to twice this size before it stops reading.
         read_bufsize=buffer_bytes // 2,
-        middlewares=(send_once,),
+        middlewares=(send_without_retry,),
         cookie_jar=aiohttp.DummyCookieJar(),
         response_class=Response,
         auto_decompress=False,
@@ -187,38 +188,37 @@
 
 
 def open_socket(buffer_bytes: int, address: tuple) -> socket.socket:
-    """Return the socket of a connection to an address of ``getaddrinfo``.
+    """Return a socket for a connection to an address of ``getaddrinfo``.
 
-    It receives no more than it may hold at once. Guards against one read of
-    a quick answer that is larger than all that its reader is meant to hold:
-    the event loop reads what the kernel has.
+    Its receive buffer is limited. The event loop reads all that the kernel
+    holds, so that one read of a fast answer could otherwise exceed the buffer
+    limit of its reader.
 
-    It is reset when it is closed. Guards against a call that was broken off
-    and still arrives: the kernel goes on sending what a closed connection
-    holds, and where the path had gone silent an endpoint would run requests
-    seconds after their callers had left. A reset drops them. Calls that are
-    over have nothing to lose by it.
+    Closing it resets the connection. After a plain close the kernel goes on
+    sending buffered data, so that after a network outage an endpoint would
+    run requests seconds after their callers had left. A reset discards that
+    data. Calls that have ended have no data left to lose.
 
-    It is given up after ``SILENCE_MS``. Guards against kept connections that
-    go silent without an error: each would take a request to its time limit
-    though the endpoint answers over new ones.
+    It fails after ``PEER_TIMEOUT_MS`` without a sign from the peer. A reused
+    connection may go silent without an error; each request on it would run
+    into its timeout although the endpoint answers on new connections.
     """
     family, kind, protocol = address[:3]
-    opened = socket.socket(family, kind, protocol)
+    opened_socket = socket.socket(family, kind, protocol)
     for level, option, value in (
         (socket.SOL_SOCKET, socket.SO_RCVBUF, buffer_bytes // 2),
         (socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_S),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, PEER_TIMEOUT_MS),
     ):
-        opened.setsockopt(level, option, value)
-    return opened
+        opened_socket.setsockopt(level, option, value)
+    return opened_socket
 
 
-def time_limit(timeout_ms: int | None) -> aiohttp.ClientTimeout:
-    """Return the limits of a call; None leaves all but the connect open."""
+def client_timeout(timeout_ms: int | None) -> aiohttp.ClientTimeout:
+    """Return the timeouts of a call; None limits only the connect."""
     return aiohttp.ClientTimeout(
         total=None if timeout_ms is None else timeout_ms / MS_PER_SECOND,
         sock_connect=CONNECT_TIMEOUT_MS / MS_PER_SECOND,
@@ -232,7 +232,7 @@
     timeout_ms: int | None = None,
     **options,
 ) -> aiohttp.ClientResponse:
-    """Send a call and return its answer when the headers are here.
+    """Send a call and return its response once the headers have arrived.
 
     Redirects are not followed: one with status 307 would send the call
     twice. Raises ``NotDone`` or ``MaybeDone``.
@@ -241,7 +241,7 @@
         return await session.request(
             method,
             url,
-            timeout=time_limit(timeout_ms),
+            timeout=client_timeout(timeout_ms),
             allow_redirects=False,
             **options,
         )
@@ -256,7 +256,7 @@
 
 
 async def read_body(response: aiohttp.ClientResponse) -> bytes:
-    """Return the whole body; ``MaybeDone`` if it ends early."""
+    """Return the complete body; raises MaybeDone if it ends early."""
     try:
         return await response.read()
     except (aiohttp.ClientError, OSError) as error:
@@ -270,7 +270,7 @@
     timeout_ms: int | None = CALL_TIMEOUT_MS,
     **options,
 ) -> Reply:
-    """Send a call and return its whole answer if that has status 2xx.
+    """Send a call and return its complete answer if its status is 2xx.
 
     Raises ``NotDone``, ``MaybeDone`` or ``Refused``.
     """
@@ -283,12 +283,12 @@
 
 
 def refusal(reply: Reply) -> CallError:
-    """Return what an answer that is no success means.
+    """Return the error that an unsuccessful answer stands for.
 
-    Only an answer with a code of the server's own is a refusal. A bare 503
-    may come from something in between that had passed the call on.
+    Only an answer with the server's own error code counts as a refusal. A
+    bare 503 may come from a proxy that had already forwarded the call.
     """
-    if reply.status in REFUSING_STATUSES:
+    if reply.status in REFUSAL_STATUSES:
         try:
             detail = reply.value()
         except MaybeDone:
--- a/test/test_logs.py
+++ b/test/test_logs.py
@@ -12,7 +12,7 @@
 
 
 class StalledStream(io.StringIO):
-    """A stream whose reader takes nothing until it is released."""
+    """A stream whose writes block until it is released."""
 
     def __init__(self):
         super().__init__()
@@ -40,7 +40,7 @@
         handler.close()
         return [json.loads(line) for line in stream.getvalue().splitlines()]
 
-    def test_connections_of_links_are_not_told_one_by_one(self):
+    def test_connections_of_links_are_not_logged(self):
         library = logging.getLogger('websockets.server')
         lines = self.lines(lambda: library.info('connection open'))
         self.assertEqual(lines, [])
@@ -85,10 +85,10 @@
         (line,) = self.lines(write)
         self.assertIn('ValueError: broken', line['exc_info'])
 
-    def test_stalled_reader_of_stderr_blocks_nobody(self):
-        # All requests of a process hang at once: the collector that reads its
-        # stderr has stalled, the pipe is full, and the event loop waits in
-        # the write of a log line.
+    def test_stalled_reader_of_stderr_does_not_block(self):
+        # Guards against all requests hanging at once: if the reader of stderr
+        # stalls, the pipe fills up and the event loop blocks in the write of
+        # a log line.
         stream = StalledStream()
         handler = logs.QueuedHandler(stream, limit=3)
         handler.emit(logging.makeLogRecord({'msg': 'first'}))
@@ -101,16 +101,16 @@
         self.assertEqual(stream.getvalue(), 'first\n0\n1\n2\n')
 
 
-class VolumeTest(unittest.TestCase):
+class RateLimitFilterTest(unittest.TestCase):
     def setUp(self):
         self.now_s = 10.0
-        self.limit = logs.VolumeLimit(3, lambda: self.now_s)
+        self.limit = logs.RateLimitFilter(3, lambda: self.now_s)
 
     def line(self, level=logging.INFO):
         return logging.makeLogRecord({'levelno': level, 'msg': 'x'})
 
-    def test_flood_is_cut_and_counted(self):
-        """A loop that logs without end took the processor of requests."""
+    def test_flood_is_limited_and_counted(self):
+        """Guards against a logging loop that takes CPU time from requests."""
         passed = [self.limit.filter(self.line()) for _ in range(10)]
         self.assertEqual(3, sum(passed))
         self.now_s = 11.0
@@ -118,7 +118,7 @@
         self.assertTrue(self.limit.filter(record))
         self.assertEqual(7, record.lines_left_out)
 
-    def test_flood_of_ordinary_lines_hides_no_warning(self):
+    def test_flood_of_ordinary_lines_does_not_hide_warnings(self):
         for _ in range(10):
             self.limit.filter(self.line())
         self.assertTrue(self.limit.filter(self.line(logging.WARNING)))
--- a/test/test_outgoing.py
+++ b/test/test_outgoing.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of an outgoing call after it failed."""
+"""Tests of outgoing calls and of what their errors say."""
 
 import asyncio
 import socket
@@ -13,8 +13,8 @@
 from berylhollow import outgoing
 from berylhollow.util import loop
 
-BROKEN_HEAD = b'HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf'
-WHOLE = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
+TRUNCATED_ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf'
+COMPLETE_ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
 BARE_503 = b'HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy'
 CODED_503 = (
     b'HTTP/1.1 503 Busy\r\nContent-Length: 23\r\n\r\n{"error":"unavailable"}'
@@ -22,7 +22,7 @@
 
 
 class RecordingServer:
-    """Reads each request's head, sends what is scripted and closes."""
+    """Reads each request's head, sends a fixed answer and closes."""
 
     def __init__(self, script: bytes = b'', keep_open: bool = False):
         self.script = script
@@ -61,10 +61,10 @@
         return await outgoing.call(await self.session(), method, url)
 
     async def test_call_is_never_sent_twice(self):
-        """A porting order goes out as a PUT and runs twice.
+        """Guards against a PUT that runs twice.
 
-        The endpoint reads the order, runs it and dies before it answers.
-        The library takes a PUT for idempotent and sends it again.
+        If an endpoint runs a PUT and crashes before it answers, aiohttp takes
+        the method for idempotent and sends the request again.
         """
         for method in ('GET', 'PUT', 'DELETE', 'POST'):
             with self.subTest(method):
@@ -73,8 +73,8 @@
                     await self.call(server, method)
                 self.assertEqual(len(server.heads), 1)
 
-    async def test_bare_session_does_send_twice(self):
-        """Show that the test above can fail, and why the guard is needed."""
+    async def test_plain_session_sends_twice(self):
+        """Shows that aiohttp repeats a PUT unless the session prevents it."""
         server = RecordingServer()
         url = await server.start(self)
         async with aiohttp.ClientSession() as session:
@@ -82,7 +82,7 @@
                 await session.put(url)
         self.assertEqual(len(server.heads), 2)
 
-    async def test_call_that_never_left_is_not_done(self):
+    async def test_unsent_call_is_not_done(self):
         server = await asyncio.start_server(lambda *_: None, '127.0.0.1', 0)
         port = server.sockets[0].getsockname()[1]
         server.close()
@@ -92,11 +92,11 @@
                 await self.session(), 'POST', f'http://127.0.0.1:{port}/'
             )
 
-    async def test_half_an_answer_is_maybe_done(self):
+    async def test_partial_answer_is_maybe_done(self):
         with self.assertRaises(outgoing.MaybeDone):
-            await self.call(RecordingServer(BROKEN_HEAD))
+            await self.call(RecordingServer(TRUNCATED_ANSWER))
 
-    async def test_no_answer_in_time_is_maybe_done(self):
+    async def test_timeout_is_maybe_done(self):
         url = await RecordingServer(keep_open=True).start(self)
         with self.assertRaises(outgoing.MaybeDone):
             await outgoing.call(
@@ -121,7 +121,7 @@
 
 class EndpointClientTest(unittest.IsolatedAsyncioTestCase):
     async def open_twice(self, idempotent):
-        server = RecordingServer(WHOLE, keep_open=True)
+        server = RecordingServer(COMPLETE_ANSWER, keep_open=True)
         url = await server.start(self)
         client = endpoint.EndpointClient(url, engine=False)
         self.addAsyncCleanup(client.close)
@@ -140,19 +140,19 @@
         return server
 
     async def test_only_idempotent_requests_reuse_a_connection(self):
-        """A booking is answered with an unknown outcome for no reason.
+        """Guards against needless errors with an unknown outcome.
 
-        The endpoint closes an idle connection at the moment at which the
-        booking is written to it: nobody can tell whether it was read.
+        An endpoint may close an idle connection just as a request is written
+        to it. It is then unknown whether the endpoint read the request.
         """
         self.assertEqual((await self.open_twice(True)).connections, 1)
         self.assertEqual((await self.open_twice(False)).connections, 2)
 
-    async def test_answer_without_an_end_is_not_whole(self):
-        """A technician reads half of the steps and takes them for all.
+    async def test_truncated_answer_is_maybe_done(self):
+        """Guards against a truncated answer that looks complete.
 
-        The service marks no end but the close of its connection, and dies
-        half-way: the close looks the same.
+        If only the close of the connection marks the end of an answer, a
+        crash half-way looks the same as its end.
         """
         for head in (b'', b'Content-Length: 9\r\n'):
             script = b'HTTP/1.1 200 OK\r\n' + head + b'\r\nhalf'
@@ -164,7 +164,7 @@
                 async for chunk in answer.chunks():
                     self.assertEqual(chunk, b'half')
 
-    async def test_only_end_to_end_headers_pass(self):
+    async def test_only_end_to_end_headers_are_forwarded(self):
         head = (await self.open_twice(True)).heads[0]
         self.assertIn(b'X-Kept: 1\r\n', head)
         for name in (b'keep-alive', b'caller.example', b'Accept-Encoding'):
@@ -172,35 +172,35 @@
 
 
 class SilentServer:
-    """Takes connections and reads nothing until it is asked to."""
+    """Accepts connections and reads nothing unless a test does."""
 
     def __init__(self):
         self.listener = socket.create_server(('127.0.0.1', 0))
         self.url = f'http://127.0.0.1:{self.listener.getsockname()[1]}/x'
 
     def accept(self) -> socket.socket:
-        """Return the next connection once a byte has come over it."""
-        taken, _ = self.listener.accept()
-        taken.recv(1, socket.MSG_PEEK)
-        return taken
+        """Return the next connection once a byte has arrived on it."""
+        connection, _ = self.listener.accept()
+        connection.recv(1, socket.MSG_PEEK)
+        return connection
 
     def close(self) -> None:
         self.listener.close()
 
 
-def read_to_the_end(taken: socket.socket) -> None:
-    """Read until the other side closes; raise if it reset the connection."""
-    with taken:
-        while taken.recv(4096):
+def read_until_close(connection: socket.socket) -> None:
+    """Read until the peer closes; raises if it resets the connection."""
+    with connection:
+        while connection.recv(4096):
             pass
 
 
 class BrokenOffCallTest(unittest.IsolatedAsyncioTestCase):
-    """A caller leaves while the endpoint's connection is stuck.
+    """Guards against requests that arrive after their caller has left.
 
-    The path to the endpoint goes silent, the caller gives up, and the path
-    heals seconds later. A connection that was only closed still delivers
-    what it held then: the endpoint runs a request that nobody waits for.
+    During a network outage a caller gives up. If its connection is only
+    closed, the kernel delivers the buffered request once the network is back,
+    and the endpoint runs a request that nobody waits for.
     """
 
     async def begin(self) -> tuple[asyncio.Task, socket.socket]:
@@ -213,18 +213,18 @@
         )
         return call, await asyncio.to_thread(server.accept)
 
-    async def test_connection_is_reset_so_that_nothing_arrives_later(self):
-        call, taken = await self.begin()
+    async def test_cancelled_call_resets_its_connection(self):
+        call, connection = await self.begin()
         call.cancel()
         await asyncio.gather(call, return_exceptions=True)
         with self.assertRaises(ConnectionResetError):
-            await asyncio.to_thread(read_to_the_end, taken)
+            await asyncio.to_thread(read_until_close, connection)
 
-    async def test_silent_connection_is_given_up(self):
-        """Nothing comes back and nothing is acknowledged, without an error.
+    async def test_silent_connection_times_out(self):
+        """Guards against reused connections that are silent without an error.
 
-        Kept connections that went silent took every request to an endpoint
-        that answered over new ones.
+        Every request on such a connection failed although the endpoint
+        answered on new ones.
         """
         opened = outgoing.open_socket(
             outgoing.BUFFER_BYTES,
@@ -232,7 +232,7 @@
         )
         with opened:
             self.assertEqual(
-                outgoing.SILENCE_MS,
+                outgoing.PEER_TIMEOUT_MS,
                 opened.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT),
             )
             self.assertTrue(
@@ -241,39 +241,39 @@
 
 
 class LastBytesServer(threading.Thread):
-    """Send a head, then the last bytes together with an end or a reset."""
+    """Sends a head, then the last bytes together with a close or reset."""
 
     def __init__(self, reset):
         super().__init__(daemon=True)
         self.reset = reset
         self.listener = socket.create_server(('127.0.0.1', 0))
         self.port = self.listener.getsockname()[1]
-        self.read = threading.Event()
+        self.first_bytes_read = threading.Event()
         self.ended = threading.Event()
 
     def run(self):
-        opened, _ = self.listener.accept()
-        opened.recv(65536)
-        opened.sendall(b'HTTP/1.1 200 OK\r\n\r\nfirst')
-        self.read.wait()
-        opened.sendall(b'last')
+        accepted, _ = self.listener.accept()
+        accepted.recv(65536)
+        accepted.sendall(b'HTTP/1.1 200 OK\r\n\r\nfirst')
+        self.first_bytes_read.wait()
+        accepted.sendall(b'last')
         if self.reset:
-            opened.setsockopt(
+            accepted.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
             )
-        opened.close()
+        accepted.close()
         self.ended.set()
         self.listener.close()
 
 
 class LastBytesTest(unittest.TestCase):
     async def read(self, server):
-        """Let the last bytes and the end arrive in one step of the loop."""
+        """Let the last bytes and the end arrive in one loop iteration."""
         session = outgoing.open_session()
         url = f'http://127.0.0.1:{server.port}/'
         response = await outgoing.open_call(session, 'GET', url)
         await response.content.readany()
-        server.read.set()
+        server.first_bytes_read.set()
         server.ended.wait()
         rest = b''
         try:
@@ -284,20 +284,20 @@
             await session.close()
         return response.was_reset, rest
 
-    def played(self, reset):
+    def read_from_server(self, reset):
         server = LastBytesServer(reset)
         server.start()
         with asyncio.Runner(loop_factory=loop.new_event_loop) as runner:
             return runner.run(self.read(server))
 
-    def test_reset_with_the_last_bytes_is_no_end(self):
-        """An endpoint crashes right after some bytes of its answer.
+    def test_reset_with_the_last_bytes_is_an_error(self):
+        """Guards against a truncated answer that looks complete.
 
-        On the program's own event loop the reset arrives together with the
-        bytes and is reported as a plain end, so that a half answer without a
-        length looked whole.
+        If an endpoint crashes right after it sent some bytes, the program's
+        event loop sees the reset together with the bytes and reports a plain
+        end. An answer without a length then looked complete.
         """
-        self.assertTrue(self.played(reset=True)[0])
+        self.assertTrue(self.read_from_server(reset=True)[0])
 
     def test_close_with_the_last_bytes_is_an_end(self):
-        self.assertEqual((False, b'last'), self.played(reset=False))
+        self.assertEqual((False, b'last'), self.read_from_server(reset=False))
