--- a/berylhollow/endpoint_directory/__init__.py
+++ b/berylhollow/endpoint_directory/__init__.py
@@ -1,13 +1,13 @@
-"""The list of endpoints, kept up to date from a stream of keyed records."""
+"""The endpoint list, kept up to date from a stream of keyed records."""
 
 from berylhollow.endpoint_directory import _directory
 from berylhollow.endpoint_directory import _entries
 from berylhollow.endpoint_directory import _lapses
 
 EndpointDirectory = _directory.EndpointDirectory
-Lapses = _lapses.Lapses
+HeldRemovals = _lapses.HeldRemovals
 Source = _directory.Source
 
-LOST_MS = _directory.LOST_MS
-MOST_MALFORMED = _entries.MOST_MALFORMED
-RETURN_MS = _lapses.RETURN_MS
+LIST_STALE_MS = _directory.LIST_STALE_MS
+MAX_MALFORMED_NAMES = _entries.MAX_MALFORMED_NAMES
+REMOVAL_HOLD_MS = _lapses.REMOVAL_HOLD_MS
--- a/berylhollow/endpoint_directory/_lapses.py
+++ b/berylhollow/endpoint_directory/_lapses.py
@@ -1,103 +1,104 @@
-"""Which removals from the list may be lapses of an outage of the store."""
+"""Hold back removals that may only be entries that expired in an outage."""
 
 import collections
 
-RETURN_MS = 2300
-"""How long after an outage entries that lapsed in it stay in use.
+REMOVAL_HOLD_MS = 2300
+"""How long after an outage of the store expired entries stay in use.
 
-The platform lists whoever lives again within two seconds. Guards against a
-service that loses all its endpoints at the moment at which the store comes
-back; it shows as a burst of refusals after every outage.
+The platform lists every live endpoint again within two seconds. Without this
+delay a service would lose all its endpoints when the store comes back, and
+callers would get a burst of refusals after each outage.
 """
 
-IRREGULAR = 1
-"""Entries of one endpoint that may come between two heartbeats: it writes at
-once that it leaves, or that it has started."""
+EXTRA_WRITES = 1
+"""Entries that an endpoint may write between two heartbeats: it writes at once
+when it starts or leaves."""
 
 
-class Lapses:
-    """Removals that are held back, by name; a pure machine.
+class HeldRemovals:
+    """Removals that are held back, by name, as a pure state machine.
 
-    An endpoint that lives writes its entry again within ``return_ms`` of the
-    return of the store. When that was is not known here: we know when we
-    could read again, and may have been cut off alone while the store served
-    all others. A removal is held back until one of two has passed:
-    ``return_ms`` since we read again, or as much of the store's own time.
-    That is told by the heartbeats that any one endpoint has written behind
-    the removal, ``heartbeat_ms`` apart. Without a ``heartbeat_ms`` the first
-    alone decides.
+    A live endpoint writes its entry again within ``hold_ms`` of the store's
+    return. The time of that return is not known here: only the time of our
+    first successful read is, and we may have been cut off alone while the
+    store served everyone else. A removal is therefore held back until one of
+    two conditions is met: ``hold_ms`` have passed since our first read, or as
+    much time has passed at the store. The second is known once any one
+    endpoint has written enough heartbeats, ``heartbeat_ms`` apart, after the
+    removal. If ``heartbeat_ms`` is 0, only the first condition counts.
 
-    ``until_ms`` is when the holds end that the clock ends, ``held`` has the
-    offset of each removal that is held back, and ``written`` the offsets of
-    what others wrote behind the first of them.
+    ``until_ms`` is when ``hold_ms`` have passed. ``held`` maps each name to
+    the offset of its removal. ``offsets_by_writer`` maps each writer to the
+    offsets of the newest entries that it wrote while removals were held back.
     """
 
-    def __init__(self, return_ms: int = RETURN_MS, heartbeat_ms: int = 0):
-        self.return_ms = return_ms
-        self.needed = 0
+    def __init__(self, hold_ms: int = REMOVAL_HOLD_MS, heartbeat_ms: int = 0):
+        self.hold_ms = hold_ms
+        self.writes_needed = 0
         if heartbeat_ms:
-            heartbeats = -(-return_ms // heartbeat_ms)
-            self.needed = heartbeats + 1 + IRREGULAR
+            heartbeats = -(-hold_ms // heartbeat_ms)
+            self.writes_needed = heartbeats + 1 + EXTRA_WRITES
         self.until_ms = 0
         self.held: dict[str, int] = {}
-        self.written: dict[str, collections.deque[int]] = {}
+        self.offsets_by_writer: dict[str, collections.deque[int]] = {}
 
-    def returned(self, at_ms: int) -> None:
-        """We can read again after an outage; holds begin anew."""
-        self.until_ms = at_ms + self.return_ms
+    def restart_holds(self, at_ms: int) -> None:
+        """Start all holds anew, at the first read after an outage."""
+        self.until_ms = at_ms + self.hold_ms
 
-    def log_came_back(self, at_ms: int, next_offset: int) -> None:
-        """Offsets were given out again, as an outage ended.
+    def log_restored(self, at_ms: int, next_offset: int) -> None:
+        """Start all holds anew after the log was restored from an older copy.
 
-        What was held back before is judged by what is written from now on.
+        Offsets are reused from ``next_offset`` on, so only entries written
+        from there on can confirm the removals.
         """
-        self.returned(at_ms)
-        self.written.clear()
+        self.restart_holds(at_ms)
+        self.offsets_by_writer.clear()
         self.held = dict.fromkeys(self.held, next_offset)
 
-    def may_be_lapse(self, at_ms: int) -> bool:
-        """Tell whether a removal that is read now may be a lapse."""
+    def may_have_expired(self, at_ms: int) -> bool:
+        """Tell whether a removal read now may be an entry that expired."""
         return at_ms < self.until_ms
 
     def hold_back(self, name: str, offset: int) -> bool:
-        """Hold a removal back; return whether it was not held yet."""
+        """Hold a removal back; return False if it already was."""
         if name in self.held:
             return False
         self.held[name] = offset
         return True
 
-    def wrote(self, name: str, offset: int) -> bool:
-        """Note an entry; return whether a removal of its name was held."""
+    def record_write(self, name: str, offset: int) -> bool:
+        """Record an entry and return whether its removal was held back."""
         was_held = self.held.pop(name, None) is not None
-        if self.held and self.needed:
-            offsets = self.written.setdefault(
-                name, collections.deque(maxlen=self.needed)
+        if self.held and self.writes_needed:
+            offsets = self.offsets_by_writer.setdefault(
+                name, collections.deque(maxlen=self.writes_needed)
             )
             offsets.append(offset)
         return was_held
 
-    def end_holds(self, at_ms: int) -> list[str]:
-        """Return the names whose removal is no lapse, and forget them."""
-        proven = self._proven()
-        all_over = not self.may_be_lapse(at_ms)
+    def pop_released(self, at_ms: int) -> list[str]:
+        """Return and forget the names whose removal is now to take effect."""
+        confirmed_offset = self._confirmed_offset()
+        is_hold_over = not self.may_have_expired(at_ms)
         over = [
             name
             for name, offset in self.held.items()
-            if all_over or offset < proven
+            if is_hold_over or offset < confirmed_offset
         ]
         for name in over:
             del self.held[name]
         if not self.held:
-            self.written.clear()
+            self.offsets_by_writer.clear()
         return over
 
-    def _proven(self) -> int:
-        """Return the offset before which every removal is proven."""
+    def _confirmed_offset(self) -> int:
+        """Return the offset below which every removal is confirmed."""
         return max(
             (
                 offsets[0]
-                for offsets in self.written.values()
-                if len(offsets) == self.needed
+                for offsets in self.offsets_by_writer.values()
+                if len(offsets) == self.writes_needed
             ),
             default=0,
         )
--- a/berylhollow/hosted/_links.py
+++ b/berylhollow/hosted/_links.py
@@ -3,8 +3,9 @@
 from berylhollow import link
 
 LINK_KEY = 'links of one deployment on its own network'
-"""Links need a key, and the platform hands out no secret: there it only
-keeps strangers' processes from being taken for ours by mistake."""
+"""Key of the links. A link needs a key, and the platform provides no secret;
+this one only keeps processes of other systems from being taken for ours by
+mistake."""
 
 LINK_OPTIONS = link.Options(
     ping_interval_ms=5000,
@@ -12,8 +13,8 @@
     handshake_timeout_ms=1000,
     close_timeout_ms=200,
 )
-"""Gateways miss the reports of a link that went silent sooner than its pings,
-and sidecars forget by themselves what a silent gateway has told. An idle link
-that is pinged every second costs each end a tenth of a millisecond of
-processor for each ping (``tools/bench_idle_links.py``), and there are sixty
-or more."""
+"""Options of the links. A gateway notices a silent link sooner by missing
+reports than by its pings, and a sidecar forgets by itself the demand of a
+silent gateway, so frequent pings add nothing. Pinging an idle link every
+second costs each end a tenth of a millisecond of processor time for each ping
+(``tools/bench_idle_links.py``), and there are sixty links or more."""
--- a/berylhollow/hosted/gateway_process.py
+++ b/berylhollow/hosted/gateway_process.py
@@ -1,4 +1,4 @@
-"""A gateway on the users' platform."""
+"""The gateway process on the users' platform."""
 
 from berylhollow import clock
 from berylhollow import endpoint_directory
@@ -15,45 +15,55 @@
 from berylhollow import workspaces
 
 STOP_NOTICE_MS = 2500
-"""The balancer asks once a second and stops sending after two refusals."""
+"""Time between reporting not ready and closing. The load balancer checks
+readiness once a second and stops sending after two failed checks."""
 
 LINK_RETRY_MS = 150
-"""Pause before a link is opened again. After all processes were replaced,
-loads wait for the first link to a sidecar that may start a moment later."""
+"""First pause before a link is opened again. After all processes were
+replaced, loads wait for the first link to a sidecar, which may start a moment
+later than the gateway."""
 
-LINK_RETRY_MOST_MS = 2000
+LINK_RETRY_MAX_MS = 2000
 STOP_MARGIN_MS = 700
-"""Left of the grace period to close everything before SIGKILL."""
+"""Part of the grace period that is reserved for closing everything before
+SIGKILL."""
 
 LAST_ANSWERS_MS = 300
-LISTS_BEFORE_LEAVING = 3
-"""Reads of the list of endpoints in the time that a leaving endpoint still
-serves. One that fails or is late leaves another to tell of it; each costs
-every gateway a call to the store."""
-
-LONGEST_LIST_MS = 800
-"""However long a leaving endpoint still serves, a new one should be found,
-and the others should hear that nothing is new before they read themselves."""
-
-LEAST_LOST_PAUSE_MS = 200
-"""Between two reads of a list that is lost, however soon the platform wants
-every promise to hold again: each costs every gateway a call to the store."""
+LIST_READS_WHILE_LEAVING = 3
+"""Reads of the endpoint list within the time that a leaving endpoint still
+serves. If one fails or is late, another still shows the departure. Each read
+costs every gateway a call to the store."""
+
+MAX_LIST_INTERVAL_MS = 800
+"""Longest interval between reads of the endpoint list, however long a leaving
+endpoint still serves. It bounds the time until a new endpoint is found, and
+the time after which other gateways, if they hear nothing, read the list
+themselves."""
+
+MIN_STALE_LIST_INTERVAL_MS = 200
+"""Shortest interval between reads of a stale list, however short the
+platform's ``contact_ms``. Each read costs every gateway a call to the
+store."""
 
 DEADLINE_MS = 30_000
-"""Of a request that names none; its route's timeout is shorter."""
+"""Deadline of a request that names none; the timeout of its route is
+shorter."""
 
-BODY_BYTES = 8 * 1024 * 1024
-BODIES_BYTES = 48 * 1024 * 1024
-"""Of 300 MB: a request body is held once here and once in the connection."""
+BODY_LIMIT_BYTES = 8 * 1024 * 1024
+BODY_BYTES_IN_FLIGHT = 48 * 1024 * 1024
+"""Limit on request bodies in flight. A body is held twice, here and in the
+connection, and the process has 300 MB of memory."""
 
-ATTEMPTS = 4
-"""Offers of one request, refused ones among them."""
+MAX_ATTEMPTS = 4
+"""Attempts of one request, refused ones included."""
 
-MOST_GATEWAYS = 8
-"""Gateways that share the retry reserve while their number is not known."""
+ASSUMED_GATEWAYS = 8
+"""Number of gateways assumed to share the retry reserve, as the real one is
+unknown."""
 
 KEYS_READY_SHARE = 0.55
-"""Of the bound on keys; a new proof is looked for at two fifths of it."""
+"""Share of the key bound after which the gateway is not ready. A new key proof
+is requested at two fifths of the bound."""
 
 UNBOUNDED = 1_000_000
 
@@ -76,7 +86,7 @@
 
 
 def gateway_settings(node: platform.Node) -> all_settings.GatewaySettings:
-    """Return the settings of the gateway itself on a node."""
+    """Return the settings of the gateway on a node."""
     grace_ms = node.stop_grace_ms - STOP_NOTICE_MS - STOP_MARGIN_MS
     return all_settings.parse(
         {
@@ -94,42 +104,42 @@
             'limits': {
                 'caller_in_flight': 100_000,
                 'caller_rate_per_s': UNBOUNDED,
-                'body_bytes_in_flight': BODIES_BYTES,
+                'body_bytes_in_flight': BODY_BYTES_IN_FLIGHT,
             },
             'deadline_ms': DEADLINE_MS,
-            'body_limit_bytes': BODY_BYTES,
+            'body_limit_bytes': BODY_LIMIT_BYTES,
             'stop_notice_ms': STOP_NOTICE_MS,
             'stop_grace_ms': max(1, grace_ms),
-            'instance_poll_ms': list_pause_ms(node),
+            'instance_poll_ms': list_interval_ms(node),
         },
         all_settings.Role.GATEWAY,
     )
 
 
-def list_pause_ms(node: platform.Node) -> int:
-    """Return the pause between two reads of the list of endpoints."""
-    pause_ms = node.leave_ms // LISTS_BEFORE_LEAVING
-    return max(1, min(LONGEST_LIST_MS, pause_ms))
+def list_interval_ms(node: platform.Node) -> int:
+    """Return the interval between reads of the endpoint list."""
+    interval_ms = node.leave_ms // LIST_READS_WHILE_LEAVING
+    return max(1, min(MAX_LIST_INTERVAL_MS, interval_ms))
 
 
-def lost_list_pause_ms(node: platform.Node) -> int:
-    """Return the pause between two reads of a list that is lost.
+def stale_list_interval_ms(node: platform.Node) -> int:
+    """Return the interval between reads of a stale endpoint list.
 
-    Entries that lapsed are used for ``RETURN_MS`` from the first read that
-    succeeds, and ``contact_ms`` after the store is back an endpoint that left
-    must get nothing more. Half of what lies between may pass until the store's
-    return is noticed; the other half is for the read itself.
+    Expired entries are used for ``REMOVAL_HOLD_MS`` after the first read that
+    succeeds, and an endpoint that has left must get no more requests
+    ``contact_ms`` after the store is back. Half of the difference may pass
+    until the store's return is noticed; the other half is for the read itself.
     """
-    spare_ms = node.contact_ms - endpoint_directory.RETURN_MS
-    pause_ms = max(LEAST_LOST_PAUSE_MS, spare_ms // 2)
-    return min(list_pause_ms(node), pause_ms)
+    spare_ms = node.contact_ms - endpoint_directory.REMOVAL_HOLD_MS
+    interval_ms = max(MIN_STALE_LIST_INTERVAL_MS, spare_ms // 2)
+    return min(list_interval_ms(node), interval_ms)
 
 
-def keys_ready_ms(node: platform.Node) -> int:
-    """Return how old a proof of the keys may be while we are ready.
+def max_ready_key_age_ms(node: platform.Node) -> int:
+    """Return the age of the key proof up to which the gateway is ready.
 
-    The balancer stops sending up to three seconds after that, as the proof
-    ends.
+    The load balancer stops sending up to three seconds after that, when the
+    proof expires.
     """
     if not node.key_bound_ms:
         return UNBOUNDED
@@ -139,18 +149,18 @@
 def gateway_state(
     node: platform.Node, settings: all_settings.GatewaySettings
 ) -> gateway.State:
-    """Return the first state of a gateway's reducer on a node."""
+    """Return the initial state of a gateway's reducer on a node."""
     options = gateway.Options(
         instance=node.instance,
         failure_domain=node.failure_domain,
         region=node.region,
-        attempts=ATTEMPTS,
+        attempts=MAX_ATTEMPTS,
         instance_poll_ms=settings.instance_poll_ms,
-        instance_lost_ms=endpoint_directory.LOST_MS,
-        instance_retry_ms=lost_list_pause_ms(node),
+        instance_lost_ms=endpoint_directory.LIST_STALE_MS,
+        instance_retry_ms=stale_list_interval_ms(node),
         needs_instances=True,
         retry_share=node.retry_ratio / 2,
-        retry_reserve=max(1.0, node.retry_slack / MOST_GATEWAYS / 2),
+        retry_reserve=max(1.0, node.retry_slack / ASSUMED_GATEWAYS / 2),
         requests_in_flight=4096,
         caller_in_flight=settings.limits.caller_in_flight,
         caller_rate_per_s=settings.limits.caller_rate_per_s,
@@ -158,11 +168,11 @@
         stop_grace_ms=settings.stop_grace_ms,
         sidecar_port=node.link_port,
         link_retry_ms=LINK_RETRY_MS,
-        link_retry_most_ms=LINK_RETRY_MOST_MS,
+        link_retry_most_ms=LINK_RETRY_MAX_MS,
         lost_retry_free=False,
         budget_by_caller=False,
         policy='quick-reload',
-        keys_ready_ms=keys_ready_ms(node),
+        keys_ready_ms=max_ready_key_age_ms(node),
         quota_tolerance=workspaces.Tolerance(
             node.quota_window_ms / clock.MS_PER_SECOND,
             node.quota_overrun,
@@ -178,17 +188,17 @@
 def endpoint_list(
     node: platform.Node, store: endpoint_directory.Source, time: clock.Clock
 ) -> endpoint_directory.EndpointDirectory:
-    """Return the list of endpoints as a gateway follows it in the store."""
-    return_ms = min(
-        endpoint_directory.RETURN_MS,
-        max(0, node.contact_ms - 2 * lost_list_pause_ms(node)),
+    """Return the endpoint directory of a gateway, read from the store."""
+    hold_ms = min(
+        endpoint_directory.REMOVAL_HOLD_MS,
+        max(0, node.contact_ms - 2 * stale_list_interval_ms(node)),
     )
     return endpoint_directory.EndpointDirectory(
         store,
         platform.INSTANCE_STREAM,
         platform.decode_instance,
         time,
-        endpoint_directory.Lapses(return_ms, node.heartbeat_ms),
+        endpoint_directory.HeldRemovals(hold_ms, node.heartbeat_ms),
     )
 
 
@@ -198,7 +208,7 @@
         (platform.CONFIGURATION_STREAM, platform.INSTANCE_STREAM),
         node.instance,
         clock.MonotonicClock(),
-        list_pause_ms(node),
+        list_interval_ms(node),
         spread.fraction(0.0, node.instance),
     )
     return gateway_service.Surroundings(
--- a/berylhollow/hosted/loader_process.py
+++ b/berylhollow/hosted/loader_process.py
@@ -1,4 +1,4 @@
-"""The sidecar of a direct endpoint on the users' platform."""
+"""The sidecar process of a direct endpoint on the users' platform."""
 
 from berylhollow.hosted import _links
 from berylhollow import loader
--- a/test/test_endpoint_directory.py
+++ b/test/test_endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The list of endpoints, kept up to date from keyed records."""
+"""The endpoint list, kept up to date from a stream of keyed records."""
 
 import unittest
 
@@ -12,20 +12,20 @@
 
 
 FIRST_MS = 1_790_000_000_000
-"""When an endpoint started first, by its own clock."""
+"""First start of an endpoint, by its own clock."""
 
 
 class FakeStore:
-    """Records in order; ``down`` fails every call.
+    """Keeps records in order; every call fails while ``down`` is set.
 
-    A whole list is ``behind`` by so many records.
+    A read of the whole list misses the last ``full_read_lag`` records.
     """
 
     def __init__(self):
         self.records = []
         self.first = 0
         self.down = False
-        self.behind = 0
+        self.full_read_lag = 0
         self.era = 0
         self.full_reads = 0
 
@@ -48,7 +48,7 @@
     async def newest(self, stream):
         self.check()
         self.full_reads += 1
-        end = len(self.records) - self.behind
+        end = len(self.records) - self.full_read_lag
         newest = {}
         for entry in self.result(0).records[:end]:
             size = entry.data[0] if entry.data else 0
@@ -71,8 +71,8 @@
         if self.down:
             raise outgoing.NotDone('down')
 
-    def come_back(self, records):
-        """Lose all but the first few records."""
+    def restore_older_copy(self, records):
+        """Keep only the first ``records`` records and begin a new era."""
         del self.records[records:]
         self.era += 1
 
@@ -98,7 +98,7 @@
         self.assertEqual(['i-2'], await self.names())
         self.assertEqual(1, self.store.full_reads)
 
-    async def test_whoever_wrote_last_comes_last(self):
+    async def test_row_written_last_is_listed_last(self):
         for name in ('i-2', 'i-1', 'i-2'):
             self.store.put(name)
         self.assertEqual(['i-1', 'i-2'], await self.names())
@@ -106,10 +106,10 @@
         self.assertEqual(['i-2', 'i-1'], await self.names())
 
     async def test_dropped_history_is_read_as_a_whole_list(self):
-        """The store drops its history while an endpoint leaves.
+        """The store drops its history, with the record of a removal in it.
 
-        The record of its leaving is gone with it. Reading on from what is
-        kept, the gateway would send to an endpoint that left long ago.
+        A gateway that only read on from the oldest kept record would go on
+        sending to an endpoint that left long ago.
         """
         self.store.put('i-1')
         self.store.put('i-2')
@@ -119,10 +119,10 @@
         self.assertEqual(['i-2'], await self.names())
 
     async def test_whole_list_that_is_older_than_what_was_read(self):
-        """The store drops its history and answers from an older state.
+        """The store drops its history and answers with an older list.
 
-        Endpoints that had left were in use again, and read from there on the
-        log would bring every change since once more.
+        If that list was applied, endpoints that had left would be in use
+        again, and reading on from its offset would repeat every change since.
         """
         self.store.put('i-1')
         self.store.put('i-2')
@@ -131,17 +131,17 @@
         self.store.put('i-3')
         await self.names()
         self.store.first = 10
-        self.store.behind = 2
+        self.store.full_read_lag = 2
         with self.assertRaises(outgoing.CallError):
             await self.names()
-        self.store.behind = 0
+        self.store.full_read_lag = 0
         self.assertEqual(['i-2', 'i-3'], await self.names())
 
-    async def test_entries_that_lapsed_in_an_outage_stay_for_a_while(self):
-        """The store was down and the entries of all endpoints lapsed.
+    async def test_entries_that_expired_in_an_outage_stay_for_a_while(self):
+        """The store was down, and the entries of all endpoints expired.
 
-        On its return they are gone and come back within two seconds. Taken
-        at once, no endpoint is left to send anything to.
+        The endpoints write them again within two seconds of its return. If the
+        removals were applied at once, no endpoint would be left to send to.
         """
         self.store.put('i-1')
         await self.names()
@@ -152,7 +152,7 @@
         self.store.down = False
         self.store.drop('i-1')
         self.assertEqual(['i-1'], await self.names())
-        self.clock.advance(endpoint_directory.RETURN_MS)
+        self.clock.advance(endpoint_directory.REMOVAL_HOLD_MS)
         self.assertEqual([], await self.names())
 
     async def test_entry_that_comes_back_after_an_outage_stays(self):
@@ -163,7 +163,7 @@
         await self.names()
         self.store.put('i-1')
         await self.names()
-        self.clock.advance(endpoint_directory.RETURN_MS)
+        self.clock.advance(endpoint_directory.REMOVAL_HOLD_MS)
         self.assertEqual(['i-1'], await self.names())
 
     async def test_malformed_entry_is_skipped(self):
@@ -174,47 +174,48 @@
             self.assertEqual(['i-1'], await self.names())
 
 
-class StartTest(DirectoryTestCase):
-    """Entries of endpoints that start again under their old names."""
+class RestartTest(DirectoryTestCase):
+    """Entries of endpoints that start again under their old name."""
 
-    async def starts(self):
+    async def start_times(self):
         rows = await self.directory.list()
         return [row.incarnation.started_ms for row in rows]
 
-    async def test_restart_under_the_old_name_takes_its_place(self):
+    async def test_restart_under_the_old_name_replaces_the_row(self):
         self.store.put('i-1', born=FIRST_MS)
-        await self.starts()
+        await self.start_times()
         self.store.put('i-1', born=FIRST_MS + 900)
-        self.assertEqual([FIRST_MS + 900], await self.starts())
+        self.assertEqual([FIRST_MS + 900], await self.start_times())
 
-    async def test_late_word_of_the_start_before_is_left(self):
-        """A write of the old start took effect after the new one's first.
+    async def test_delayed_write_of_an_earlier_start_is_ignored(self):
+        """A write of the old start takes effect after the new one's first.
 
-        All that was known of the new start was dropped, and requests were
-        sent for adapters that only the old one had held.
+        If it was applied, all that is known of the new start would be
+        discarded, and requests would be sent for adapters that only the old
+        start held.
         """
         self.store.put('i-1', born=FIRST_MS)
         self.store.put('i-1', born=FIRST_MS + 900)
-        await self.starts()
+        await self.start_times()
         self.store.put('i-1', born=FIRST_MS)
-        self.assertEqual([FIRST_MS + 900], await self.starts())
+        self.assertEqual([FIRST_MS + 900], await self.start_times())
         self.store.put('i-1', born=FIRST_MS + 900)
-        self.assertEqual([FIRST_MS + 900], await self.starts())
+        self.assertEqual([FIRST_MS + 900], await self.start_times())
 
-    async def test_start_by_a_clock_that_was_set_back_is_taken(self):
-        """The clock went back: the living start looks like the older one."""
+    async def test_start_after_the_clock_was_set_back_is_accepted(self):
+        """The clock was set back, so the live start looks like the older."""
         self.store.put('i-1', born=FIRST_MS)
-        await self.starts()
+        await self.start_times()
         self.store.put('i-1', born=FIRST_MS - 5000)
-        self.assertEqual([FIRST_MS], await self.starts())
+        self.assertEqual([FIRST_MS], await self.start_times())
         self.store.put('i-1', born=FIRST_MS - 5000)
-        self.assertEqual([FIRST_MS - 5000], await self.starts())
+        self.assertEqual([FIRST_MS - 5000], await self.start_times())
 
 
 class ForeignEntryTest(DirectoryTestCase):
-    """Entries of another writer between good ones."""
+    """Entries of another writer among good ones."""
 
-    async def test_unreadable_entry_leaves_the_others(self):
+    async def test_malformed_entry_does_not_affect_others(self):
         self.store.put('i-1')
         self.store.records.append(b'\x03x-1{')
         self.store.records.append(b'')
@@ -222,11 +223,11 @@
         self.store.put('i-3')
         self.assertEqual(['i-1', 'i-3'], await self.names())
 
-    async def test_unreadable_entry_over_a_good_one(self):
-        """The newest entry of a name counts, read next or read as a whole.
+    async def test_malformed_entry_replaces_a_good_one(self):
+        """The newest entry of a name counts, however it was read.
 
-        Gateways that had read on kept the endpoint, those that read the
-        whole list left it out.
+        Otherwise gateways that read on would keep the endpoint, while those
+        that read the whole list would leave it out.
         """
         self.store.put('i-1')
         self.store.put('i-2')
@@ -236,8 +237,8 @@
         self.store.put('i-1')
         self.assertEqual(['i-2', 'i-1'], await self.names())
 
-    async def test_unreadable_entries_are_told_once_each(self):
-        """A writer repeated its entry with every heartbeat, a line each."""
+    async def test_malformed_entry_is_logged_once_per_name(self):
+        """A malformed entry is written again with every heartbeat."""
         self.store.put('i-1')
         with self.assertLogs(
             'berylhollow.endpoint_directory', 'WARNING'
@@ -249,7 +250,7 @@
         self.assertEqual('x-1', logs.records[0].entry)
 
     async def test_made_up_names_do_not_fill_the_log(self):
-        most = endpoint_directory.MOST_MALFORMED
+        most = endpoint_directory.MAX_MALFORMED_NAMES
         for number in range(most + 50):
             self.store.put(f'x-{number}', Address='nowhere')
         with self.assertLogs(
@@ -260,85 +261,85 @@
 
 
 class OlderCopyTest(DirectoryTestCase):
-    """The log comes back from an older copy and gives offsets out again."""
+    """The log is restored from an older copy and reuses offsets."""
 
-    async def test_list_with_a_lower_end_is_taken_in(self):
-        """The log ends before what was read already, in a new era.
+    async def test_list_with_a_lower_end_offset_is_applied(self):
+        """The restored log ends before what was read already.
 
-        Refused as an answer from before, the list would have stood still
+        If its list was refused as outdated, the endpoint list would not change
         until the log had grown past the old offset.
         """
         for name in ('i-1', 'i-2', 'i-3'):
             self.store.put(name)
         await self.names()
-        self.store.come_back(2)
+        self.store.restore_older_copy(2)
         for _ in range(3):
             await self.names()
-            self.clock.advance(endpoint_directory.RETURN_MS // 2)
+            self.clock.advance(endpoint_directory.REMOVAL_HOLD_MS // 2)
         self.store.drop('i-1')
         self.assertEqual(['i-2'], await self.names())
 
     async def test_log_that_has_grown_past_the_old_offset(self):
-        """As many records were written again as were lost, others of them.
+        """As many records as were lost have been written since the restore.
 
-        Nothing fails then; read on from the old offset, what lies before it
-        would never be seen.
+        No read fails then, but reading on from the old offset would skip the
+        new records before it.
         """
         for name in ('i-1', 'i-2', 'i-3'):
             self.store.put(name)
         await self.names()
-        self.store.come_back(1)
+        self.store.restore_older_copy(1)
         self.store.drop('i-1')
         self.store.put('i-4')
         self.store.put('i-5')
         await self.names()
-        self.clock.advance(endpoint_directory.RETURN_MS)
+        self.clock.advance(endpoint_directory.REMOVAL_HOLD_MS)
         self.assertEqual(['i-4', 'i-5'], await self.names())
 
     async def test_endpoint_that_the_copy_lacks_may_write_again(self):
-        """An endpoint joined in the seconds that were lost; it lives.
+        """A live endpoint joined after the copy was made.
 
-        Taken for a removal, all that had joined would get nothing until
-        each has written again.
+        If its absence was taken for a removal, every such endpoint would get
+        no requests until it has written its entry again.
         """
         self.store.put('i-1')
         self.store.put('i-2')
         await self.names()
-        self.store.come_back(1)
+        self.store.restore_older_copy(1)
         self.assertEqual(['i-1', 'i-2'], sorted(await self.names()))
         self.store.put('i-2')
-        self.clock.advance(endpoint_directory.RETURN_MS)
+        self.clock.advance(endpoint_directory.REMOVAL_HOLD_MS)
         self.assertEqual(['i-1', 'i-2'], sorted(await self.names()))
 
     async def test_endpoint_that_the_copy_lacks_and_that_is_gone(self):
         self.store.put('i-1')
         self.store.put('i-2')
         await self.names()
-        self.store.come_back(1)
+        self.store.restore_older_copy(1)
         await self.names()
-        self.clock.advance(endpoint_directory.RETURN_MS)
+        self.clock.advance(endpoint_directory.REMOVAL_HOLD_MS)
         self.assertEqual(['i-1'], await self.names())
 
-    async def test_endpoint_that_only_the_copy_has_was_seen_to_leave(self):
-        """An endpoint left in the seconds that were lost.
+    async def test_endpoint_seen_to_leave_is_not_taken_from_the_copy(self):
+        """An endpoint left after the copy was made.
 
-        Believed, the copy would have requests sent to it again, long after
-        its leaving was confirmed.
+        If the copy was applied as it is, requests would be sent to the
+        endpoint long after its departure was confirmed.
         """
         self.store.put('i-1')
         self.store.put('i-2')
         await self.names()
         self.store.drop('i-2')
         self.assertEqual(['i-1'], await self.names())
-        self.store.come_back(2)
+        self.store.restore_older_copy(2)
         self.assertEqual(['i-1'], await self.names())
         self.store.put('i-2', born=FIRST_MS)
         self.assertEqual(2, len(await self.names()))
 
-    async def test_answer_of_the_era_before_is_not_used(self):
+    async def test_answer_of_an_earlier_era_is_refused(self):
         self.store.put('i-1')
         await self.names()
-        self.store.come_back(1)
+        self.store.restore_older_copy(1)
         await self.names()
         self.store.era -= 1
         self.store.put('i-2')
