--- a/berylhollow/following.py
+++ b/berylhollow/following.py
@@ -1,4 +1,4 @@
-"""What the reducers need of the configuration, whoever follows it."""
+"""Interface between the reducers and what follows the configuration."""
 
 import collections.abc
 import dataclasses
@@ -13,27 +13,27 @@
 
 
 class Service(typing.Protocol):
-    """What is declared of a service."""
+    """Weights declared for a service."""
 
     load_stall_weight: float
     batch_efficiency_weight: float
 
 
 class Adapter(typing.Protocol):
-    """What is declared of an adapter."""
+    """Priority declared for an adapter."""
 
     priority: int
 
 
 class Limits(typing.Protocol):
-    """What is admitted of a caller at all gateways; None is no limit."""
+    """Limits of a caller over all gateways; None is no limit."""
 
     in_flight: int | None
     rate_per_s: float | None
 
 
 class Caller(typing.Protocol):
-    """What is declared of a caller."""
+    """Weight and limits declared for a caller."""
 
     weight: float
     limits: Limits
@@ -41,12 +41,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Terms:
-    """How a request is to be served, as the configuration has it.
+    """How the configuration says a request is to be served.
 
-    ``deadline_ms`` is a duration from arrival. ``most_runs`` bounds the
-    endpoints that may run the request, None leaves it to the options.
-    ``objective_ms`` is by when its answer should begin, 0 if none is set.
-    ``workspace`` is the one that its key belongs to, None without one.
+    ``deadline_ms`` is a duration from arrival. ``most_runs`` limits the
+    endpoints that may run the request; if it is None, the gateway's options
+    do. ``objective_ms`` is the time within which the answer should begin, 0
+    for none. ``workspace`` is the one that the request's key belongs to, None
+    without a key.
     """
 
     service: str
@@ -61,9 +62,9 @@
 
 
 class View(typing.Protocol):
-    """One accepted revision of the configuration; it never changes.
+    """One accepted revision of the configuration, immutable.
 
-    With ``has_workspaces`` callers need the key of one.
+    If ``has_workspaces`` is set, callers need the key of a workspace.
     """
 
     revision: int
@@ -73,14 +74,14 @@
     def workspace(
         self, head: events.RequestHead
     ) -> workspaces.Workspace | errors.Kind | None:
-        """Return whose request it is, None if nobody's, or why it fails."""
+        """Return the workspace of a request, None, or why it is refused."""
 
     def resolve(
         self, request: events.Request, seed: float
     ) -> Terms | errors.Kind:
         """Return how to serve a request, or why it can't be served.
 
-        ``seed`` in [0, 1) chooses among services that share the request.
+        ``seed`` in [0, 1) selects among the services that share the request.
         """
 
     def acceptable(
@@ -91,11 +92,11 @@
     def adapter_slots(self, service: str) -> int:
         """Return how many adapters an endpoint of a service can hold.
 
-        0 for a plain service, or where the endpoint itself tells.
+        0 for a plain service, or if the endpoint reports the number itself.
         """
 
     def models(self, service: str) -> tuple[str, ...]:
-        """Return the models that endpoints of a service are to hold."""
+        """Return the models that endpoints of a service should hold."""
 
     def service(self, name: str) -> Service | None:
         """Return a declared service, None if there is none."""
@@ -104,12 +105,12 @@
         """Return a declared adapter, None if there is none."""
 
     def caller(self, name: str) -> Caller:
-        """Return a caller; one that is not declared has the defaults."""
+        """Return a caller, with the defaults if it is not declared."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """What a linked gateway told, and how long ago."""
+    """Revision that a linked gateway reported, and how long ago."""
 
     instance: str
     revision: int
@@ -118,11 +119,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """How far a process follows, for operators.
+    """How far a process has followed the configuration, for operators.
 
-    ``age_ms`` is how long ago the log is known to have held no more, -1 if
-    that was never known; ``stopped`` is why the next record can't be
-    judged, if so; ``gap`` when records are gone that no snapshot holds.
+    ``age_ms`` is the time since the log was last known to hold no further
+    records, -1 if it never was. ``stopped`` is the reason why the next record
+    can't be judged, '' if it can. ``gap`` says that records are gone that no
+    snapshot contains.
     """
 
     revision: int = 0
@@ -136,15 +138,15 @@
 
 
 class Follower(typing.Protocol):
-    """Follows the configuration on the log and from peers."""
+    """Follows the configuration in the log and from peers."""
 
     current: View | None
 
     def start(self, at_ms: int) -> list[effects.Effect]:
-        """Begin to read."""
+        """Return the effects that begin to read."""
 
     def handle(self, event: events.Event) -> list[effects.Effect]:
-        """Take in what concerns the configuration; ignore the rest."""
+        """Apply an event that concerns the configuration; ignore others."""
 
     def tick(
         self,
@@ -153,20 +155,20 @@
         peers: list[str],
         self_id: str,
     ) -> list[effects.Effect]:
-        """Ask for what is missing and pass on what others miss."""
+        """Request missing records and send peers those that they miss."""
 
     def status(self, at_ms: int) -> Status:
-        """Return how far we are, for operators."""
+        """Return how far the configuration was followed, for operators."""
 
     def keys_hold(self, at_ms: int) -> bool:
-        """Tell whether keys are known well enough to use them."""
+        """Tell whether the keys are proven recently enough to be used."""
 
     def keys_age_ms(self, at_ms: int) -> int:
-        """Return how old the newest proof of the keys is."""
+        """Return the age of the newest proof of the keys."""
 
 
 class NothingToFollow:
-    """A follower for a process that needs no configuration."""
+    """A follower for a process without configuration."""
 
     current: View | None = None
 
@@ -196,16 +198,16 @@
 
 
 class Meters(typing.Protocol):
-    """What takes the values of metrics."""
+    """Receiver of the values of metrics."""
 
     def observe(
         self, name: str, read: collections.abc.Callable[[], float]
     ) -> None:
-        """Call ``read`` for the value of a metric."""
+        """Register ``read`` as the source of a metric's value."""
 
 
 def observe(follower: Follower, time: clock.Clock, meters: Meters) -> None:
-    """Show in the metrics how far a follower is."""
+    """Register metrics of the follower's revision and ages."""
     meters.observe(
         'berylhollow.revision',
         lambda: follower.status(time.now_ms()).revision,
@@ -221,9 +223,9 @@
 
 
 def announce(served: int, view: View | None) -> list[effects.Effect]:
-    """Return the log line of a revision that has newly come into force.
+    """Return the log line for a revision that has newly come into force.
 
-    ``served`` is the revision that was served before, 0 for none.
+    ``served`` is the revision that was in force before, 0 for none.
     """
     if view is None or view.revision == served:
         return []
--- a/berylhollow/log_service/__init__.py
+++ b/berylhollow/log_service/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's services as the system's processes see them."""
+"""Clients of the platform's instance list and log service."""
 
 from berylhollow.log_service import _instance_client
 from berylhollow.log_service import _log_client
--- a/berylhollow/log_service/_instance_client.py
+++ b/berylhollow/log_service/_instance_client.py
@@ -14,10 +14,10 @@
 
 
 class InstanceClient:
-    """Read and change the instance list at ``url``.
+    """Reads and changes the instance list at ``url``.
 
-    ``latest`` is the list as it was read last, ``entity_tag`` what the
-    platform called that version of it, '' if it gives no names.
+    ``latest`` is the list as it was last read, ``entity_tag`` the platform's
+    entity tag of that version, '' if it sends none.
     """
 
     def __init__(self, url: str, session: aiohttp.ClientSession | None = None):
@@ -27,22 +27,24 @@
         self.entity_tag = ''
 
     async def list(self) -> tuple[_types.Instance, ...]:
-        """Return what the list shows, which lags.
+        """Return the instances that the list shows; it may be out of date.
 
-        The platform sends it only if it differs from the latest. Raises the
-        kinds of ``outgoing.CallError``.
+        The platform sends the list only if it has changed since the last read.
+        Raises the subclasses of ``outgoing.CallError``.
         """
-        wanted = {'If-None-Match': self.entity_tag} if self.entity_tag else {}
+        request_headers = (
+            {'If-None-Match': self.entity_tag} if self.entity_tag else {}
+        )
         response = await outgoing.open_call(
             self.session,
             'GET',
             self.url,
             outgoing.CALL_TIMEOUT_MS,
-            headers=wanted,
+            headers=request_headers,
         )
         async with response:
             body = await outgoing.read_body(response)
-        if response.status == NOT_MODIFIED and wanted:
+        if response.status == NOT_MODIFIED and request_headers:
             return self.latest
         reply = outgoing.Reply(response.status, body)
         if reply.status != OK:
@@ -52,7 +54,7 @@
         return self.latest
 
     async def put(self, instance: _types.Instance) -> None:
-        """Register an instance or change its entry."""
+        """Register an instance or replace its entry."""
         await outgoing.call(
             self.session,
             'PUT',
@@ -61,7 +63,7 @@
         )
 
     async def delete(self, instance: str) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         await outgoing.call(
             self.session, 'DELETE', self.instance_url(instance)
         )
@@ -80,18 +82,20 @@
             parse_instance(item) for item in reply.value()['instances']
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise outgoing.MaybeDone('the answer is no list') from error
+        raise outgoing.MaybeDone(
+            'the response is not an instance list'
+        ) from error
 
 
 def instance_value(instance: _types.Instance) -> dict:
-    """Return the JSON object of an entry."""
+    """Return the JSON object of an instance."""
     return dataclasses.asdict(instance)
 
 
 def parse_instance(value: dict) -> _types.Instance:
-    """Return the entry of a JSON object.
+    """Return the instance that a JSON object describes.
 
-    Raises ``ValueError`` or ``KeyError`` for a wrong or missing field.
+    Raises ``ValueError`` or ``KeyError`` for an invalid or missing field.
     """
     return _types.Instance(
         instance=str(value['instance']),
--- a/berylhollow/log_service/_log_client.py
+++ b/berylhollow/log_service/_log_client.py
@@ -16,7 +16,7 @@
 
 
 class OffsetGone(outgoing.Refused):
-    """The offset was retired; ``first_offset`` is the first one kept."""
+    """The offset is no longer kept; ``first_offset`` is the first that is."""
 
     def __init__(self, refused: outgoing.Refused):
         super().__init__(refused.kind, refused.status, refused.detail)
@@ -24,7 +24,7 @@
 
 
 class LogClient:
-    """Append to and read from streams of the log at ``url``."""
+    """Appends to and reads from streams of the log at ``url``."""
 
     def __init__(self, url: str, session: aiohttp.ClientSession | None = None):
         self.url = url.rstrip('/')
@@ -36,8 +36,8 @@
         """Append a record and return its offset.
 
         Raises ``outgoing.NotDone`` or ``Refused`` (kind ``unavailable`` or
-        ``rate_limited``) if nothing was appended and ``MaybeDone`` if only a
-        later read can tell.
+        ``rate_limited``) if nothing was appended, and ``MaybeDone`` if only a
+        later read can show whether it was.
         """
         reply = await outgoing.call(
             self.session,
@@ -49,7 +49,7 @@
         try:
             return int(reply.value()['offset'])
         except (KeyError, TypeError, ValueError) as error:
-            raise outgoing.MaybeDone('the answer has no offset') from error
+            raise outgoing.MaybeDone('the response has no offset') from error
 
     async def read(
         self,
@@ -60,8 +60,8 @@
     ) -> _types.ReadResult:
         """Return up to ``limit`` records from an offset on.
 
-        If there are none yet, wait for the first up to ``wait_ms``. Raises
-        ``OffsetGone`` and the kinds of ``outgoing.CallError``.
+        If there are none yet, wait up to ``wait_ms`` for the first. Raises
+        ``OffsetGone`` and the subclasses of ``outgoing.CallError``.
         """
         params = {
             'from': str(from_offset),
@@ -83,7 +83,9 @@
         try:
             return _read_result(reply.value())
         except (KeyError, TypeError, ValueError) as error:
-            raise outgoing.MaybeDone('the answer is no page') from error
+            raise outgoing.MaybeDone(
+                'the response is not a page of records'
+            ) from error
 
     def records_url(self, stream: str) -> str:
         name = urllib.parse.quote(stream, safe='')
--- a/berylhollow/log_service/_types.py
+++ b/berylhollow/log_service/_types.py
@@ -1,4 +1,4 @@
-"""What the platform's services give back."""
+"""Data that the platform's services return."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class Role(enum.StrEnum):
-    """What an instance is to the system."""
+    """Role of an instance in the system."""
 
     GATEWAY = 'gateway'
     ENDPOINT = 'endpoint'
@@ -24,7 +24,7 @@
 class Instance:
     """One entry of the instance list.
 
-    ``address`` is ``IP:port``: where a sidecar takes links, or a gateway
+    ``address`` is the ``IP:port`` where a sidecar accepts links, or a gateway
     those of its peers. ``service`` is empty for a gateway.
     """
 
@@ -39,12 +39,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadResult:
-    """Part of a stream, and the bounds of what the log holds of it.
+    """Records of a stream, and the offsets that the log holds.
 
-    A log that came back from an older copy begins a new ``era``, in which
-    offsets are given out again: those of two eras can't be compared.
-    ``whole`` tells that the log held nothing more, ``told`` that another
-    process has read this, at a time that is not known.
+    A log that was restored from an older copy begins a new ``era`` and reuses
+    offsets: offsets of two eras can't be compared. ``whole`` says that the log
+    held no further records. ``told`` says that another process made the read
+    and passed the result on, so its time is not known.
     """
 
     records: tuple[messages.LogEntry, ...]
