--- a/berylhollow/shared_reads.py
+++ b/berylhollow/shared_reads.py
@@ -1,11 +1,12 @@
-"""Reads of the platform's log that gateways close to each other share.
-
-Every gateway follows the same two streams. Read by each alone, the calls to
-the log grow with the gateways: on 68 of them they cost as much as all the
-instances. Here one reads and tells the others, through a process that all of
-them have a link to. Nobody is elected: whoever hears nothing for a while reads
-for itself, and of two that read the one with the lower name goes on. Without
-listeners, or with every link cut, each reads alone as before.
+"""Reads of the platform's log that gateways of a failure domain share.
+
+Every gateway follows the same two streams. If each read them itself, the calls
+to the log would grow with the number of gateways: for 68 of them they cost as
+much as all the instances. Instead one gateway reads and publishes the result
+to the others through a process that all of them have a link to. The reader is
+not elected: a gateway that receives nothing for a while reads for itself, and
+of two readers the one with the lower name goes on. Without listeners, or with
+every link down, each gateway reads for itself.
 """
 
 import asyncio
@@ -21,68 +22,70 @@
 
 LOG = logging.getLogger(__name__)
 
-LEAST_SILENCE = 1.25
-SILENCE_SPREAD = 0.45
-"""How many of the reader's pauses may pass without word from it, and how much
-more by name, so that not all take its place at once. Together below the 1.5 s
-after which the list of endpoints counts as lost, at pauses of 0.8 s."""
+MIN_SILENCE_INTERVALS = 1.25
+SILENCE_SPREAD_INTERVALS = 0.45
+"""Intervals of the reader that may pass without a part from it, and how many
+more depending on the gateway's name, so that not all take over at once. At
+intervals of 0.8 s the sum is below the 1.5 s after which the endpoint list is
+stale."""
 
-MOST_TOLD_BYTES = 256 * 1024
-"""A part that is larger is not told on: whoever missed so much reads it, and
-a link of 5 Mbit/s would be busy with it for half a second."""
+MAX_PUBLISHED_BYTES = 256 * 1024
+"""A larger part is not published: a link of 5 Mbit/s would be busy with it for
+half a second. A gateway that missed so much reads it from the log."""
 
-MOST_KEPT_BYTES = 1024 * 1024
-"""Of what was told and not asked for yet; then it is read instead."""
+MAX_RECEIVED_BYTES = 1024 * 1024
+"""Size of the received records that are kept until they are asked for. Beyond
+it they are dropped and read from the log instead."""
 
 Publish = collections.abc.Callable[[messages.StreamPart], None]
 
 
 @dataclasses.dataclass(slots=True)
-class Told:
-    """What others have told of one stream and nobody has asked for yet.
+class ReceivedRecords:
+    """Records of one stream that were received and not yet asked for.
 
-    ``parts`` are records without a gap from ``start`` on, offsets of
-    ``era``. ``fresh`` tells that something was heard since it was last asked
-    for, if only that there is nothing new.
+    ``records`` follow each other without a gap from offset ``start`` of
+    ``era``. ``is_fresh`` says that a part was received since the last call of
+    ``pop_from``, even if it had no new records.
     """
 
     era: int = 0
     start: int = 0
-    parts: list[bytes] = dataclasses.field(default_factory=list)
-    size: int = 0
-    fresh: bool = False
+    records: list[bytes] = dataclasses.field(default_factory=list)
+    size_bytes: int = 0
+    is_fresh: bool = False
 
     @property
     def end(self) -> int:
-        """Return the offset behind the last record."""
-        return self.start + len(self.parts)
+        """Return the offset after the last record."""
+        return self.start + len(self.records)
 
-    def take(self, part: messages.StreamPart) -> bool:
-        """Add a part; False if it is older than what is known."""
+    def add(self, part: messages.StreamPart) -> bool:
+        """Add a part; return False if it is older than what is known."""
         if part.era < self.era:
             return False
         if part.era > self.era:
             self.era = part.era
-            self.forget(part.from_offset)
+            self.reset(part.from_offset)
         if part.next_offset < self.end:
             return False
-        joins = part.from_offset <= self.end
-        if not joins or self.size > MOST_KEPT_BYTES:
-            self.forget(part.from_offset)
-        known = self.end - part.from_offset
-        added = part.records[known:]
-        self.parts += added
-        self.size += sum(map(len, added))
-        self.fresh = True
+        is_adjoining = part.from_offset <= self.end
+        if not is_adjoining or self.size_bytes > MAX_RECEIVED_BYTES:
+            self.reset(part.from_offset)
+        known_count = self.end - part.from_offset
+        added = part.records[known_count:]
+        self.records += added
+        self.size_bytes += sum(map(len, added))
+        self.is_fresh = True
         return True
 
-    def after(self, offset: int, era: int) -> log_service.ReadResult | None:
-        """Return what follows an offset; None if that is not known.
+    def pop_from(self, offset: int, era: int) -> log_service.ReadResult | None:
+        """Return the records from an offset on; None if they are not known.
 
-        Of a newer era than that of the offset nothing but the era itself:
-        whoever asks has to begin anew.
+        If the received era is newer than that of the offset, the result has
+        the new era but no records: the caller has to read the newest ones.
         """
-        if not self.fresh or era > self.era:
+        if not self.is_fresh or era > self.era:
             return None
         if era < self.era:
             return log_service.ReadResult(
@@ -92,80 +95,81 @@
             return None
         entries = tuple(
             messages.LogEntry(offset + index, 0, data)
-            for index, data in enumerate(self.parts[offset - self.start :])
+            for index, data in enumerate(self.records[offset - self.start :])
         )
         end = self.end
-        self.forget(end)
+        self.reset(end)
         return log_service.ReadResult(
             entries, offset, end, self.era, told=True
         )
 
-    def forget(self, start: int) -> None:
-        """Keep nothing before an offset, and take what follows it."""
+    def reset(self, start: int) -> None:
+        """Drop all records and continue at an offset."""
         self.start = start
-        self.parts = []
-        self.size = 0
-        self.fresh = False
+        self.records = []
+        self.size_bytes = 0
+        self.is_fresh = False
 
 
 @dataclasses.dataclass(slots=True)
-class Turn:
-    """Whose turn it is to read one stream; a pure machine.
+class ReaderRole:
+    """Whether this gateway is the reader of one stream; a pure state machine.
 
-    ``reading`` is True while it is ours, ``yielded`` once another has taken
-    it since our last read began.
+    ``is_reader`` is True while it is; ``is_superseded`` is True if another
+    gateway has become the reader since our last read began.
     """
 
     name: str
-    silence_ms: int
-    reading: bool = True
-    yielded: bool = False
-    heard_ms: int = clock.NEVER_MS
-
-    def heard(self, reader: str, at_ms: int) -> bool:
-        """Another has read; return whether it was our turn until now."""
-        if self.reading and reader > self.name:
+    silence_timeout_ms: int
+    is_reader: bool = True
+    is_superseded: bool = False
+    last_heard_ms: int = clock.NEVER_MS
+
+    def record_other_read(self, reader: str, at_ms: int) -> bool:
+        """Record another gateway's read; True if we were the reader."""
+        if self.is_reader and reader > self.name:
             return False
-        was_reading = self.reading
-        self.reading = False
-        self.yielded = True
-        self.heard_ms = at_ms
-        return was_reading
-
-    def begins_to_read(self) -> None:
-        """We read for want of word of another."""
-        self.yielded = False
-
-    def has_read(self) -> bool:
-        """We have read; return whether the turn is ours only now.
-
-        Not if another has read meanwhile. Guards against gateways whose reads
-        wait for news side by side: each ended as a reader again, a moment
-        after it had heard of the other, and none ever listened.
+        was_reader = self.is_reader
+        self.is_reader = False
+        self.is_superseded = True
+        self.last_heard_ms = at_ms
+        return was_reader
+
+    def begin_read(self) -> None:
+        """Record that we begin a read."""
+        self.is_superseded = False
+
+    def finish_read(self) -> bool:
+        """Record that our read succeeded; return whether we become the reader.
+
+        If another gateway has become the reader during our read, we do not.
+        Otherwise two gateways whose reads wait for news at the same time would
+        each become the reader again, just after hearing of the other, and none
+        would ever listen.
         """
-        if self.yielded:
+        if self.is_superseded:
             return False
-        was_reading = self.reading
-        self.reading = True
-        return not was_reading
+        was_reader = self.is_reader
+        self.is_reader = True
+        return not was_reader
 
-    def has_failed(self) -> None:
-        """We could not read; another may, and is listened to."""
-        self.reading = False
+    def fail_read(self) -> None:
+        """Record that our read failed; another gateway may take over."""
+        self.is_reader = False
 
     def wait_ms(self, at_ms: int) -> int:
-        """Return how long to listen before reading ourselves."""
-        if self.reading:
+        """Return how long to wait for a part before reading ourselves."""
+        if self.is_reader:
             return 0
-        return max(0, self.heard_ms + self.silence_ms - at_ms)
+        return max(0, self.last_heard_ms + self.silence_timeout_ms - at_ms)
 
 
 class SharedLog:
-    """The log, with reads of some streams shared.
+    """The log, with shared reads of some streams.
 
-    ``pause_ms`` is how often the one whose turn it is reads, at least.
-    ``fraction`` in [0, 1) sets when this one takes the turn of one that has
-    gone silent. Raises what the source raises.
+    ``pause_ms`` is the longest interval between two reads of the reader.
+    ``fraction`` in [0, 1) sets how soon this gateway takes over from a silent
+    reader. Methods raise what those of the source raise.
     """
 
     def __init__(
@@ -181,52 +185,57 @@
         self.time = time
         self.name = name
         self.pause_ms = pause_ms
-        silence_ms = pause_ms * (LEAST_SILENCE + SILENCE_SPREAD * fraction)
-        self.turns = {x: Turn(name, int(silence_ms)) for x in streams}
-        self.told = {stream: Told() for stream in self.turns}
-        self.news = {stream: asyncio.Event() for stream in self.turns}
-        self.eras = dict.fromkeys(self.turns, 0)
+        silence_timeout_ms = pause_ms * (
+            MIN_SILENCE_INTERVALS + SILENCE_SPREAD_INTERVALS * fraction
+        )
+        self.roles = {
+            stream: ReaderRole(name, int(silence_timeout_ms))
+            for stream in streams
+        }
+        self.received = {stream: ReceivedRecords() for stream in self.roles}
+        self.part_received = {stream: asyncio.Event() for stream in self.roles}
+        self.eras = dict.fromkeys(self.roles, 0)
         self.publish: Publish = lambda part: None
         self.has_listeners: collections.abc.Callable[[], bool] = lambda: False
 
     async def newest(self, stream: str) -> log_service.ReadResult:
-        """Return the newest record of each key; never shared."""
+        """Return the newest record of each key; never a shared read."""
         result = await self.source.newest(stream)
-        self._note_era(stream, result)
+        self._update_era(stream, result)
         return result
 
     async def read(
         self, stream: str, from_offset: int, wait_ms: int = 0
     ) -> log_service.ReadResult:
-        """Return the records from an offset on, read or told by another.
+        """Return the records from an offset on, read or received.
 
-        With listeners ``wait_ms`` is cut to the pause: they take over from a
-        reader that is silent for longer.
+        With listeners ``wait_ms`` is limited to ``pause_ms``, as they take
+        over from a reader that is silent for longer.
         """
-        if stream not in self.turns or not self.has_listeners():
+        if stream not in self.roles or not self.has_listeners():
             result = await self.source.read(
                 stream, from_offset, wait_ms=wait_ms
             )
-            self._note_era(stream, result)
+            self._update_era(stream, result)
             return result
-        told = await self._listen(stream, from_offset)
-        if told is not None:
-            self.eras[stream] = told.era
-            return told
+        received = await self._wait_for_records(stream, from_offset)
+        if received is not None:
+            self.eras[stream] = received.era
+            return received
         wait_ms = min(wait_ms, self.pause_ms)
-        return await self._read(stream, from_offset, wait_ms)
+        return await self._read_source(stream, from_offset, wait_ms)
 
     def take(self, part: messages.StreamPart) -> None:
-        """Take in what another gateway has read."""
-        turn = self.turns.get(part.stream)
-        if turn is None or part.reader == self.name:
+        """Add a part that another gateway has read."""
+        role = self.roles.get(part.stream)
+        if role is None or part.reader == self.name:
             return
-        if not self.told[part.stream].take(part):
+        if not self.received[part.stream].add(part):
             return
-        if turn.heard(part.reader, self.time.now_ms()):
+        if role.record_other_read(part.reader, self.time.now_ms()):
             fields = {'stream': part.stream, 'reader': part.reader}
             LOG.info('another gateway reads the stream', extra=fields)
-        self.news[part.stream].set()
+        self.part_received[part.stream].set()
 
     async def append(self, stream: str, data: bytes) -> int:
         """Append a record and return its offset."""
@@ -236,70 +245,72 @@
         """Close the connections."""
         await self.source.close()
 
-    async def _listen(
+    async def _wait_for_records(
         self, stream: str, from_offset: int
     ) -> log_service.ReadResult | None:
-        """Wait for word of another; None if it is our turn."""
+        """Wait for a part of another gateway; None if we have to read."""
         while True:
-            told = self.told[stream].after(from_offset, self.eras[stream])
-            if told is not None:
-                return told
-            if from_offset < self.told[stream].start:
-                # Something was missed that will not be told again.
+            received = self.received[stream].pop_from(
+                from_offset, self.eras[stream]
+            )
+            if received is not None:
+                return received
+            if from_offset < self.received[stream].start:
+                # A part was missed, and it will not be published again.
                 return None
-            wait_ms = self.turns[stream].wait_ms(self.time.now_ms())
+            wait_ms = self.roles[stream].wait_ms(self.time.now_ms())
             if not wait_ms:
                 return None
-            await self._wait(stream, wait_ms)
+            await self._wait_for_part(stream, wait_ms)
 
-    async def _wait(self, stream: str, wait_ms: int) -> None:
-        news = self.news[stream]
-        news.clear()
+    async def _wait_for_part(self, stream: str, wait_ms: int) -> None:
+        part_received = self.part_received[stream]
+        part_received.clear()
         try:
             async with asyncio.timeout(wait_ms / clock.MS_PER_SECOND):
-                await news.wait()
+                await part_received.wait()
         except TimeoutError:
             fields = {'stream': stream, 'silent_ms': wait_ms}
             LOG.info('nothing heard of the stream', extra=fields)
 
-    async def _read(
+    async def _read_source(
         self, stream: str, from_offset: int, wait_ms: int
     ) -> log_service.ReadResult:
-        turn = self.turns[stream]
-        turn.begins_to_read()
+        role = self.roles[stream]
+        role.begin_read()
         try:
             result = await self.source.read(
                 stream, from_offset, wait_ms=wait_ms
             )
         except outgoing.CallError:
-            turn.has_failed()
+            role.fail_read()
             raise
-        if turn.has_read():
+        if role.finish_read():
             LOG.info('reads the stream for others', extra={'stream': stream})
-        began_anew = result.era != self.eras[stream]
-        self._note_era(stream, result)
-        told = self.told[stream]
-        if not told.start <= result.next_offset <= told.end:
-            told.forget(result.next_offset)
-        if turn.reading and not began_anew:
-            self._tell(stream, from_offset, result)
+        is_new_era = result.era != self.eras[stream]
+        self._update_era(stream, result)
+        received = self.received[stream]
+        if not received.start <= result.next_offset <= received.end:
+            received.reset(result.next_offset)
+        if role.is_reader and not is_new_era:
+            self._publish_part(stream, from_offset, result)
         return result
 
-    def _note_era(self, stream: str, result: log_service.ReadResult) -> None:
-        """Forget what was told of an era that is over."""
-        if stream not in self.turns:
+    def _update_era(self, stream: str, result: log_service.ReadResult) -> None:
+        """Drop records that were received of an earlier era."""
+        if stream not in self.roles:
             return
         self.eras[stream] = result.era
-        told = self.told[stream]
-        if result.era > told.era:
-            told.era = result.era
-            told.forget(result.next_offset)
+        received = self.received[stream]
+        if result.era > received.era:
+            received.era = result.era
+            received.reset(result.next_offset)
 
-    def _tell(
+    def _publish_part(
         self, stream: str, from_offset: int, result: log_service.ReadResult
     ) -> None:
         records = tuple(entry.data for entry in result.records)
-        if sum(map(len, records)) > MOST_TOLD_BYTES:
+        if sum(map(len, records)) > MAX_PUBLISHED_BYTES:
             return
         self.publish(
             messages.StreamPart(
--- a/test/test_shared_reads.py
+++ b/test/test_shared_reads.py
@@ -1,4 +1,4 @@
-"""Gateways of one failure domain that share their reads of the log."""
+"""Reads of the log that gateways of one failure domain share."""
 
 import asyncio
 import unittest
@@ -11,11 +11,11 @@
 from berylhollow import shared_reads
 
 STREAM = 'operators'
-SILENCE_MS = 1000
+SILENCE_TIMEOUT_MS = 1000
 
 
 class FakeLog:
-    """Records in order; counts the calls, and fails them while ``down``."""
+    """Keeps records in order and counts reads; they fail while ``down``."""
 
     def __init__(self):
         self.records = []
@@ -46,7 +46,7 @@
 
 
 class SharedTestCase(unittest.IsolatedAsyncioTestCase):
-    """Gateways on one clock; what one publishes, ``tell`` gives another."""
+    """Gateways on one clock; ``deliver_to`` hands one the published parts."""
 
     def setUp(self):
         self.log = FakeLog()
@@ -61,7 +61,7 @@
         shared.has_listeners = lambda: True
         return shared
 
-    def tell(self, shared):
+    def deliver_to(self, shared):
         for part in self.parts:
             shared.take(part)
 
@@ -71,70 +71,72 @@
 
 
 class SharedReadsTest(SharedTestCase):
-    async def test_one_reads_and_the_other_is_told(self):
+    async def test_one_reads_and_the_other_receives_the_part(self):
         """Each of sixty-eight gateways read the same streams by itself.
 
-        The calls to the log cost as much as all the instances.
+        Their calls to the log cost as much as all the instances.
         """
         first, second = self.gateway('g1'), self.gateway('g2')
         self.log.records += [b'one', b'two']
         self.assertEqual(([b'one', b'two'], 2), await self.data(first, 0))
-        self.tell(second)
+        self.deliver_to(second)
         self.assertEqual(([b'one', b'two'], 2), await self.data(second, 0))
         self.assertEqual(1, self.log.calls)
 
-    async def test_that_nothing_is_new_is_told_too(self):
+    async def test_read_without_records_is_published_too(self):
         first, second = self.gateway('g1'), self.gateway('g2')
         await self.data(first, 0)
-        self.tell(second)
+        self.deliver_to(second)
         self.assertEqual(([], 0), await self.data(second, 0))
         self.assertEqual(1, self.log.calls)
 
-    async def test_who_listens_hears_of_news_while_it_waits(self):
+    async def test_listener_receives_a_part_while_it_waits(self):
         first, second = self.gateway('g1'), self.gateway('g2')
         await self.data(first, 0)
-        self.tell(second)
+        self.deliver_to(second)
         await self.data(second, 0)
         waiting = asyncio.create_task(self.data(second, 0))
         await asyncio.sleep(0)
         self.parts.clear()
         self.log.records.append(b'news')
         await self.data(first, 0)
-        self.tell(second)
+        self.deliver_to(second)
         self.assertEqual(([b'news'], 1), await waiting)
         self.assertEqual(2, self.log.calls)
 
     async def test_silent_reader_is_replaced(self):
         """The gateway that reads for the others is killed.
 
-        Nobody tells them so: without word for its pause and a little more,
-        each of them reads again, and a change is not missed.
+        The others are not told of it. When no part has arrived for the
+        interval of the reader and a little more, each reads again, so that no
+        record is missed.
         """
         first, second = self.gateway('g1'), self.gateway('g2')
         await self.data(first, 0)
-        self.tell(second)
+        self.deliver_to(second)
         await self.data(second, 0)
         self.log.records.append(b'news')
-        self.clock.advance(SILENCE_MS)
+        self.clock.advance(SILENCE_TIMEOUT_MS)
         self.assertEqual(([b'news'], 1), await self.data(second, 0))
 
-    async def test_lower_name_goes_on_where_two_read(self):
+    async def test_of_two_readers_the_lower_name_goes_on(self):
         first, second = self.gateway('g1'), self.gateway('g2')
         await self.data(second, 0)
-        self.tell(first)
+        self.deliver_to(first)
         self.parts.clear()
         await self.data(first, 0)
         await self.data(first, 0)
         self.assertEqual(2, self.log.calls)
-        self.tell(second)
+        self.deliver_to(second)
         await self.data(second, 0)
         self.assertEqual(2, self.log.calls)
 
-    async def test_reads_that_wait_side_by_side_end_in_one_reader(self):
-        """Two gateways began to wait for news at the same moment.
+    async def test_concurrent_reads_leave_one_reader(self):
+        """Two gateways begin to wait for news at the same moment.
 
-        The first told that there was none just before the second heard so
-        from the log itself; both went on, and the calls were not halved.
+        The first publishes that there is none just before the second learns so
+        from the log itself. If both then remained readers, the calls would not
+        be halved.
         """
         first, second = self.gateway('g1'), self.gateway('g2')
         waits = asyncio.Event()
@@ -147,16 +149,17 @@
         waiting = asyncio.create_task(self.data(second, 0))
         await asyncio.sleep(0)
         await self.data(first, 0)
-        self.tell(second)
+        self.deliver_to(second)
         waits.set()
         await waiting
-        self.assertFalse(second.turns[STREAM].reading)
+        self.assertFalse(second.roles[STREAM].is_reader)
         self.assertEqual(['g1'], [part.reader for part in self.parts])
 
     async def test_gap_is_read(self):
-        """A part was lost with its link; the next one tells what follows it.
+        """A part was lost with its link; the next part begins after a gap.
 
-        Taken for all there is, a configuration would never be in force here.
+        If it was taken for all there is, the lost configuration would never
+        come into force at this gateway.
         """
         first, second = self.gateway('g1'), self.gateway('g2')
         self.log.records.append(b'missed')
@@ -164,35 +167,38 @@
         self.parts.clear()
         self.log.records.append(b'told')
         await self.data(first, 1)
-        self.tell(second)
+        self.deliver_to(second)
         self.assertEqual(([b'missed', b'told'], 2), await self.data(second, 0))
 
-    async def test_part_that_overlaps_gives_only_what_is_new(self):
+    async def test_overlapping_part_adds_only_new_records(self):
         first, second = self.gateway('g1'), self.gateway('g2')
         self.log.records += [b'one', b'two', b'three']
         await self.data(first, 0)
-        self.tell(second)
+        self.deliver_to(second)
         self.assertEqual(([b'three'], 3), await self.data(second, 2))
 
-    async def test_late_part_takes_nothing_back(self):
-        """A sidecar was frozen and delivers what was read seconds ago."""
+    async def test_delayed_part_does_not_undo_newer_ones(self):
+        """A sidecar was suspended and delivers a part that is seconds old."""
         first, second = self.gateway('g1'), self.gateway('g2')
         await self.data(first, 0)
         late = list(self.parts)
         self.log.records.append(b'news')
         self.parts.clear()
         await self.data(first, 0)
-        self.tell(second)
+        self.deliver_to(second)
         self.assertEqual(([b'news'], 1), await self.data(second, 0))
         for part in late:
             second.take(part)
         calls = self.log.calls
-        self.clock.advance(SILENCE_MS)
+        self.clock.advance(SILENCE_TIMEOUT_MS)
         self.assertEqual(([], 1), await self.data(second, 1))
         self.assertEqual(calls + 1, self.log.calls)
 
-    async def test_part_from_far_ahead_does_not_stop_reading(self):
-        """An offset that the log never had must not be waited for."""
+    async def test_part_beyond_the_end_of_the_log_does_not_stop_reading(self):
+        """A part has an offset that the log never reached.
+
+        It must not be waited for.
+        """
         second = self.gateway('g2')
         second.take(messages.StreamPart(STREAM, 900, 901, (b'x',), 'g1'))
         self.log.records.append(b'real')
@@ -201,19 +207,19 @@
         first = self.gateway('g1')
         self.log.records.append(b'next')
         await self.data(first, 1)
-        self.tell(second)
+        self.deliver_to(second)
         self.assertEqual(([b'next'], 2), await self.data(second, 1))
 
-    async def test_without_listeners_each_reads_alone(self):
-        alone = self.gateway('g1')
-        alone.has_listeners = lambda: False
-        await self.data(alone, 0)
-        await self.data(alone, 0)
+    async def test_without_listeners_each_gateway_reads_for_itself(self):
+        single = self.gateway('g1')
+        single.has_listeners = lambda: False
+        await self.data(single, 0)
+        await self.data(single, 0)
         self.assertEqual(2, self.log.calls)
         self.assertEqual([], self.parts)
 
-    async def test_who_can_not_read_listens_to_others(self):
-        """The log turns some instances away and serves the others."""
+    async def test_gateway_that_can_not_read_listens_to_others(self):
+        """The log refuses some gateways and serves the others."""
         first, second = self.gateway('g1'), self.gateway('g2')
         self.log.down = True
         with self.assertRaises(outgoing.NotDone):
@@ -221,52 +227,53 @@
         self.log.down = False
         self.log.records.append(b'news')
         await self.data(second, 0)
-        self.tell(first)
+        self.deliver_to(first)
         self.log.down = True
         self.assertEqual(([b'news'], 1), await self.data(first, 0))
 
-    async def test_large_part_is_left_to_each(self):
+    async def test_large_part_is_not_published(self):
         first = self.gateway('g1')
-        self.log.records.append(bytes(shared_reads.MOST_TOLD_BYTES + 1))
+        self.log.records.append(bytes(shared_reads.MAX_PUBLISHED_BYTES + 1))
         await self.data(first, 0)
         self.assertEqual([], self.parts)
 
 
-class TurnTest(unittest.TestCase):
-    def test_pauses_of_silence_differ_and_stay_below_an_outage(self):
-        """All who hear nothing at once must not all call the log at once.
+class SilenceTimeoutTest(unittest.TestCase):
+    def test_silence_timeouts_differ_and_keep_the_list_from_going_stale(self):
+        """Gateways that receive nothing must not all read at the same time.
 
-        The list of endpoints counts as lost after 1.5 s without a read.
+        The endpoint list is stale after 1.5 s without a read.
         """
         log, time = FakeLog(), clock.VirtualClock()
-        silences = [
+        timeouts = [
             shared_reads.SharedLog(log, (STREAM,), 'g', time, 800, fraction)
-            .turns[STREAM]
-            .silence_ms
+            .roles[STREAM]
+            .silence_timeout_ms
             for fraction in (0.0, 0.5, 0.999)
         ]
-        self.assertEqual(sorted(set(silences)), silences)
-        self.assertGreater(silences[0], 800)
-        self.assertLess(silences[-1], 1400)
+        self.assertEqual(sorted(set(timeouts)), timeouts)
+        self.assertGreater(timeouts[0], 800)
+        self.assertLess(timeouts[-1], 1400)
 
 
 class OlderCopyTest(SharedTestCase):
-    """The log comes back from an older copy, in a new era."""
+    """The log is restored from an older copy, in a new era."""
 
     async def asyncSetUp(self):
         self.first, self.second = self.gateway('g1'), self.gateway('g2')
         self.log.records += [b'one', b'two']
         await self.data(self.first, 0)
-        self.tell(self.second)
+        self.deliver_to(self.second)
         await self.data(self.second, 0)
         self.parts.clear()
         del self.log.records[1:]
         self.log.era = 1
 
-    async def test_part_of_a_new_era_is_told_as_such_and_not_joined(self):
-        """Offsets of two eras are the same numbers of other records.
+    async def test_part_of_a_new_era_is_not_joined_to_earlier_records(self):
+        """The same offsets stand for different records in two eras.
 
-        Joined to what was known, a part would hide the records before it.
+        If a part was joined to records of the earlier era, the new records
+        before it would never be read.
         """
         self.log.records += [b'other', b'more']
         first = await self.first.read(STREAM, 2, 1500)
@@ -274,12 +281,12 @@
         await self.first.newest(STREAM)
         self.log.records.append(b'last')
         await self.data(self.first, 3)
-        self.tell(self.second)
+        self.deliver_to(self.second)
         result = await self.second.read(STREAM, 2, 1500)
         self.assertEqual((1, ()), (result.era, result.records))
         self.assertFalse(result.whole)
 
-    async def test_part_of_the_era_before_is_dropped(self):
+    async def test_part_of_an_earlier_era_is_dropped(self):
         await self.second.newest(STREAM)
         late = messages.StreamPart(STREAM, 1, 3, (b'x', b'y'), 'g1', 0)
         self.second.take(late)
@@ -287,11 +294,11 @@
         self.clock.advance(10_000)
         self.assertEqual(([b'new'], 2), await self.data(self.second, 1))
 
-    async def test_what_is_told_is_no_read_of_ones_own(self):
+    async def test_received_part_is_marked_as_read_by_another(self):
         await self.first.newest(STREAM)
         await self.second.newest(STREAM)
         self.log.records.append(b'new')
         own = await self.first.read(STREAM, 1, 1500)
-        self.tell(self.second)
+        self.deliver_to(self.second)
         told = await self.second.read(STREAM, 1, 1500)
         self.assertEqual((False, True), (own.told, told.told))
