--- a/berylhollow/following.py
+++ b/berylhollow/following.py
@@ -222,12 +222,12 @@
     )
 
 
-def announce(served: int, view: View | None) -> list[effects.Effect]:
+def announce(served_revision: int, view: View | None) -> list[effects.Effect]:
     """Return the log line for a revision that has newly come into force.
 
-    ``served`` is the revision that was in force before, 0 for none.
+    ``served_revision`` is the revision that was in force before, 0 for none.
     """
-    if view is None or view.revision == served:
+    if view is None or view.revision == served_revision:
         return []
     fields = (('revision', view.revision),)
     return [effects.Log('configuration in force', fields)]
--- a/test/hosted/direct_helper.py
+++ b/test/hosted/direct_helper.py
@@ -1,4 +1,4 @@
-"""Direct runs against endpoints on free ports."""
+"""Runs the direct calls of a gateway against endpoints on free ports."""
 
 import asyncio
 import contextlib
@@ -22,9 +22,9 @@
 
 
 class RawEndpoint:
-    """Answer every request with given bytes, then end or reset.
+    """Answers every request with given bytes, then closes or resets.
 
-    ``pause_s`` lies between the bytes and the reset.
+    ``pause_s`` is the time between the bytes and the reset.
     """
 
     def __init__(self, answer, reset=False, pause_s=0.0):
@@ -39,15 +39,15 @@
         await writer.drain()
         if self.reset:
             await asyncio.sleep(self.pause_s)
-            taken = writer.get_extra_info('socket')
-            taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            accepted = writer.get_extra_info('socket')
+            accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             writer.transport.abort()
         else:
             writer.close()
 
 
 class DirectTestCase(unittest.IsolatedAsyncioTestCase):
-    """``self.runs`` sends offers to ``self.address``."""
+    """Sends offers through ``self.runs`` to the endpoint ``self.address``."""
 
     async def asyncSetUp(self):
         self.told = asyncio.Queue()
@@ -93,13 +93,13 @@
             return await self.told.get()
 
     async def all(self):
-        """Return what is told up to the end of the attempt."""
+        """Return the messages up to the end of the attempt."""
         told = [await self.next()]
         while not isinstance(told[-1], messages.End | messages.Failed):
             told.append(await self.next())
         return told
 
-    # What the runs need of their owner.
+    # Methods that the runs call on their owner.
 
     def message(self, peer, message):
         self.told.put_nowait(message)
--- a/test/hosted/hosted_helper.py
+++ b/test/hosted/hosted_helper.py
@@ -1,4 +1,4 @@
-"""The hosted programs as processes, with stand-ins of the platform."""
+"""Runs the hosted programs as processes, with stand-ins of the platform."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,8 @@
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
 HANG_S = 60
-"""Far above what any wait takes: a fault then fails instead of hanging."""
+"""Timeout of every wait, far above what any takes, so that a fault fails the
+test instead of hanging it."""
 
 NODE_FILE = """
 Node = "{node}"
@@ -47,7 +48,7 @@
 
 
 def free_ports(count):
-    """Return ports that nobody listens on, in rising order."""
+    """Return free ports in ascending order."""
     with contextlib.ExitStack() as stack:
         sockets = [
             stack.enter_context(socket.create_server(('127.0.0.1', 0)))
@@ -57,7 +58,7 @@
 
 
 class Process:
-    """One program; its log lines are kept."""
+    """One program as a process; its log lines are kept."""
 
     def __init__(self, role, node_path):
         self.role = role
@@ -101,7 +102,7 @@
 
 
 class HostedTestCase(unittest.IsolatedAsyncioTestCase):
-    """A gateway, a sidecar, a store, one model endpoint, one plain one."""
+    """A gateway, a sidecar, a store, a model endpoint and a plain endpoint."""
 
     async def asyncSetUp(self):
         self.stack = contextlib.AsyncExitStack()
@@ -146,7 +147,7 @@
         )
 
     async def begin(self, role):
-        """Start a program and return it."""
+        """Start the program of a role and return its process."""
         node = NODE_FILE.format(
             node=f'{role}-1',
             link_port=self.ports[0],
@@ -157,7 +158,8 @@
             store_port=self.store_port,
         )
         if role == 'gateway':
-            # On one machine here: the gateway's own link port is its own.
+            # Both processes run on one machine here, so that the gateway needs
+            # another address for its link port.
             node = node.replace(
                 f'Ip = "127.0.0.1"\nPortRange = [{self.ports[0]}',
                 f'Ip = "127.0.0.2"\nPortRange = [{self.ports[0]}',
--- a/test/hosted/store_cut.py
+++ b/test/hosted/store_cut.py
@@ -1,7 +1,8 @@
-"""A gateway that loses the store for a while, on a virtual clock.
+"""Simulates a gateway that loses the store for a while.
 
-The gateway is composed as its process composes it; endpoints of a plain
-service write to the store at every heartbeat. Nothing here waits in earnest.
+It runs on a virtual clock, without real waits. The gateway is composed as its
+process composes it; the endpoints of a plain service write to the store at
+every heartbeat.
 """
 
 import dataclasses
@@ -21,20 +22,21 @@
 STEP_MS = 10
 TICK_MS = 50
 ANSWER_MS = 10
-"""A store that is well answers within the step."""
+"""Time in which a reachable store answers; at most one step."""
 
 CALL_TIMEOUT_MS = 1000
-"""A call into a cut ends so late, as the client of the store has it."""
+"""A call into a partition fails after this time, the timeout of the store's
+client."""
 
 HEARTBEAT_MS = 1200
-"""How often an endpoint writes its entry."""
+"""Interval at which an endpoint writes its entry."""
 
 REQUEST_MS = 20
 PATH = '/puxa403/x'
 
 
-class Step:
-    """Give way until the next step."""
+class NextStep:
+    """Suspends a coroutine until the next step."""
 
     def __await__(self):
         yield
@@ -42,56 +44,56 @@
 
 @dataclasses.dataclass(frozen=True)
 class Span:
-    """A while, in ms; ``over_ms`` is no longer in it."""
+    """Half-open time interval from ``start_ms`` to ``end_ms``."""
 
-    begun_ms: int
-    over_ms: int
+    start_ms: int
+    end_ms: int
 
     def __contains__(self, at_ms):
-        return self.begun_ms <= at_ms < self.over_ms
+        return self.start_ms <= at_ms < self.end_ms
 
 
 @dataclasses.dataclass
 class Writer:
     """An endpoint that writes its entry until it leaves the list.
 
-    It writes nothing before ``held_ms``.
+    It writes nothing before ``silent_until_ms``.
     """
 
     name: str
     phase_ms: int
     leaves_ms: int | None = None
-    held_ms: int = 0
-    beats: int = 0
+    silent_until_ms: int = 0
+    write_count: int = 0
 
-    def due(self, at_ms):
+    def is_due(self, at_ms):
         if self.leaves_ms is not None and at_ms >= self.leaves_ms:
             return False
-        if at_ms < self.held_ms:
+        if at_ms < self.silent_until_ms:
             return False
         return (at_ms - self.phase_ms) % HEARTBEAT_MS == 0
 
 
 class Store:
-    """The list of endpoints.
+    """The endpoint list.
 
-    ``cuts`` keep the gateway alone from it, ``outages`` everybody.
+    ``partitions`` cut off the gateway alone, ``outages`` everyone.
     """
 
     def __init__(self, time):
         self.time = time
         self.records = []
-        self.cuts = ()
+        self.partitions = ()
         self.outages = ()
 
     def put(self, writer):
-        writer.beats += 1
+        writer.write_count += 1
         host = int(writer.name.partition('-')[2])
         entry = builders.entry(
             f'10.0.0.{host}:80',
             builders.PLAIN_SERVICE,
             Models=[],
-            Seq=writer.beats,
+            Seq=writer.write_count,
         )
         self.records.append(builders.keyed(writer.name, entry))
 
@@ -122,30 +124,32 @@
         return log_service.ReadResult(entries, 0, len(self.records))
 
     async def _answer(self):
-        """Return once the answer is here; a call into a cut gets none."""
+        """Return when the answer arrives; a call into a partition fails."""
         sent_ms = self.time.now_ms()
-        lost = self._away(sent_ms)
+        failed = self._is_unreachable(sent_ms)
         while True:
-            await Step()
+            await NextStep()
             now_ms = self.time.now_ms()
-            lost = lost or self._away(now_ms)
-            if not lost and now_ms >= sent_ms + ANSWER_MS:
+            failed = failed or self._is_unreachable(now_ms)
+            if not failed and now_ms >= sent_ms + ANSWER_MS:
                 return
             if now_ms >= sent_ms + CALL_TIMEOUT_MS:
                 raise outgoing.MaybeDone('no answer')
 
-    def _away(self, at_ms):
-        return self.is_down(at_ms) or any(at_ms in cut for cut in self.cuts)
+    def _is_unreachable(self, at_ms):
+        return self.is_down(at_ms) or any(
+            at_ms in partition for partition in self.partitions
+        )
 
     def is_down(self, at_ms):
         return any(at_ms in outage for outage in self.outages)
 
 
-class Scene:
-    """One gateway, its store and some endpoints, played step by step.
+class Simulation:
+    """One gateway, its store and some endpoints, simulated in steps.
 
-    ``freezes`` are spans in which the gateway stands still. ``offered`` has
-    when each request was sent to which endpoint, ``refused``
+    ``suspensions`` are intervals in which the gateway process does not run.
+    ``offered`` lists when each request was sent to which endpoint, ``refused``
     when one was answered with an error.
     """
 
@@ -156,8 +160,8 @@
         self.offered = []
         self.refused = []
         self.reads = []
-        self.asked = 0
-        self.freezes = ()
+        self.request_count = 0
+        self.suspensions = ()
         node = builders.node()
         settings = gateway_process.gateway_settings(node)
         self.directory = gateway_process.endpoint_list(
@@ -169,31 +173,31 @@
         stream = platform.CONFIGURATION_STREAM
         self._feed(events.LogRead(0, stream, (entry,), 0, 1))
 
-    def play(self, until_ms):
+    def run_until(self, until_ms):
         while self.clock.now_ms() < until_ms:
             self.clock.advance(STEP_MS)
             now_ms = self.clock.now_ms()
-            self._write(now_ms)
-            if any(now_ms in freeze for freeze in self.freezes):
+            self._write_entries(now_ms)
+            if any(now_ms in suspension for suspension in self.suspensions):
                 continue
-            self._resume()
+            self._advance_reads()
             if now_ms % TICK_MS == 0:
                 self._feed(events.Ticked(now_ms))
             if now_ms % REQUEST_MS == 0 and self.state.informed:
-                self._ask(now_ms)
+                self._send_request(now_ms)
 
-    def offered_to(self, name, from_ms):
+    def offer_times(self, name, from_ms):
         """Return when requests were sent to an endpoint, from a time on."""
         return [at for at, to in self.offered if to == name and at >= from_ms]
 
-    def _write(self, now_ms):
+    def _write_entries(self, now_ms):
         for writer in self.writers:
             if now_ms == writer.leaves_ms:
                 self.store.drop(writer.name)
-            elif writer.due(now_ms) and not self.store.is_down(now_ms):
+            elif writer.is_due(now_ms) and not self.store.is_down(now_ms):
                 self.store.put(writer)
 
-    def _resume(self):
+    def _advance_reads(self):
         for reading in list(self.reads):
             try:
                 reading.send(None)
@@ -204,10 +208,10 @@
             except outgoing.CallError:
                 self.reads.remove(reading)
 
-    def _ask(self, now_ms):
-        self.asked += 1
+    def _send_request(self, now_ms):
+        self.request_count += 1
         request = samples.request(
-            f'r{self.asked}',
+            f'r{self.request_count}',
             host=builders.HOST,
             path=PATH,
             adapter=None,
--- a/test/hosted/test_leaving.py
+++ b/test/hosted/test_leaving.py
@@ -1,4 +1,4 @@
-"""Endpoints that say in their answers that they leave."""
+"""Endpoints that report in their answers that they leave."""
 
 import unittest
 
@@ -16,10 +16,10 @@
 
 
 class LeavingTest(test_gateway_direct.DirectTestCase):
-    """``i-1`` leaves by its answers alone, ``i-2`` stays.
+    """``i-1`` reports by its answers alone that it leaves, ``i-2`` stays.
 
-    Guards against requests that reach an endpoint after its own answer has
-    told the gateway that it leaves.
+    Guards against requests that are sent to an endpoint after its own answer
+    has reported that it leaves.
     """
 
     def configure(self):
@@ -30,31 +30,31 @@
         notice = events.EndpointNotice(leaving=True)
         self.feed(events.NoticeReceived(sent_ms + 10, name, sent_ms, notice))
 
-    def test_nothing_more_is_sent_there(self):
+    def test_no_more_requests_are_sent_to_it(self):
         self.leave()
         self.assertEqual({'i-2'}, self.chosen())
 
-    def test_list_that_says_otherwise_undoes_nothing(self):
+    def test_list_without_the_notice_does_not_undo_it(self):
         self.leave()
         self.list(LEAVES, STAYS, at_ms=150)
         self.assertEqual({'i-2'}, self.chosen())
 
-    def test_entry_that_lapses_and_returns_undoes_nothing(self):
+    def test_entry_that_expires_and_returns_does_not_undo_it(self):
         self.leave()
         self.list(STAYS, at_ms=150)
         self.list(LEAVES, STAYS, at_ms=160)
         self.assertEqual({'i-2'}, self.chosen())
 
-    def test_answer_without_the_word_undoes_nothing(self):
+    def test_answer_without_the_notice_does_not_undo_it(self):
         self.leave()
-        silent = events.EndpointNotice()
-        self.feed(events.NoticeReceived(400, 'i-1', 300, silent))
+        empty_notice = events.EndpointNotice()
+        self.feed(events.NoticeReceived(400, 'i-1', 300, empty_notice))
         self.assertEqual({'i-2'}, self.chosen(500))
 
-    def test_word_in_an_older_answer_counts(self):
-        """Answers overtake each other; one with the word is enough."""
-        silent = events.EndpointNotice()
-        self.feed(events.NoticeReceived(400, 'i-1', 300, silent))
+    def test_notice_in_an_older_answer_counts(self):
+        """Answers can overtake each other; one notice is enough."""
+        empty_notice = events.EndpointNotice()
+        self.feed(events.NoticeReceived(400, 'i-1', 300, empty_notice))
         self.leave(sent_ms=100)
         self.assertEqual({'i-2'}, self.chosen(500))
 
@@ -65,19 +65,19 @@
         self.leave('i-2', sent_ms=160)
         self.assertEqual({'i-1@9'}, self.chosen())
 
-    def test_repeat_is_not_sent_there(self):
+    def test_retry_is_not_sent_to_it(self):
         self.ask(at_ms=200)
-        tried, offer = self.offered()
-        self.leave('i-1' if tried == 'i-2' else 'i-2', sent_ms=210)
+        refusing_endpoint, offer = self.offered()
+        self.leave('i-1' if refusing_endpoint == 'i-2' else 'i-2', sent_ms=210)
         refused = messages.Failed(
             offer.attempt_id, errors.Kind.OVERLOADED, errors.Ran.NOT_RUN
         )
-        self.receive(refused, 230, tried)
+        self.receive(refused, 230, refusing_endpoint)
         self.feed(events.Ticked(600, 0.5))
         self.assertEqual([], self.offers())
         self.assertNotIn('r1', self.state.requests)
 
-    def test_refused_at_once_where_all_leave(self):
+    def test_request_is_refused_at_once_if_all_endpoints_leave(self):
         self.leave('i-1')
         self.leave('i-2')
         self.ask(at_ms=5000)
@@ -93,7 +93,7 @@
         )
 
     def test_request_that_waits_for_its_adapter_moves_on(self):
-        """Guards against one that is sent on when its adapter is there."""
+        """Guards against sending it there once the adapter is loaded."""
         self.ask(test_gateway_direct.MODEL_PATH, adapter='a3')
         (active,) = self.state.requests.values()
         name = active.awaiting
@@ -107,8 +107,8 @@
 
 
 class CrowdTest(unittest.TestCase):
-    def test_none_is_sent_to_an_endpoint_that_said_so(self):
-        """The pattern of the incident: the store is away all the time."""
+    def test_no_request_is_sent_to_an_endpoint_after_its_notice(self):
+        """The store is unreachable all the time, as in the incident."""
         load = limited_crowd.LimitedLoad(
             seed=1,
             duration_ms=9000,
@@ -117,6 +117,6 @@
             limited=0,
             leaving=1,
         )
-        played = limited_crowd.LimitedCrowd(load)
-        played.run()
-        self.assertEqual([], played.sent_to_leaving())
+        crowd = limited_crowd.LimitedCrowd(load)
+        crowd.run()
+        self.assertEqual([], crowd.sent_to_leaving())
--- a/test/hosted/test_restarts.py
+++ b/test/hosted/test_restarts.py
@@ -1,4 +1,4 @@
-"""A gateway before endpoints that start again under their old name."""
+"""A gateway and endpoints that start again under their old name."""
 
 from berylhollow import effects
 from berylhollow import errors
@@ -26,11 +26,11 @@
 
 
 class OldNameTest(direct.DirectTestCase):
-    def test_restart_after_its_end_was_heard_of_is_sent_to(self):
-        """A request found another instance at the address of an endpoint.
+    def test_endpoint_that_restarts_after_it_was_replaced_is_used(self):
+        """A request found another instance at an endpoint's address.
 
-        The endpoint then started again under its old name. The gateway left
-        it out for the rest of its life.
+        The endpoint then started again under its old name. The gateway used to
+        exclude it for as long as it lived.
         """
         self.list(plain(FIRST_MS))
         self.ask()
@@ -39,8 +39,8 @@
         self.ask(at_ms=110)
         self.assertEqual(f'i-1@{SECOND_MS}', self.offered()[0])
 
-    def test_restart_while_draining_is_sent_to(self):
-        """It was leaving, ended, and started again under its old name."""
+    def test_endpoint_that_restarts_after_draining_is_used(self):
+        """The endpoint left, ended, and started again under its old name."""
         self.list(plain(FIRST_MS, leaving=True))
         self.ask()
         self.assertEqual([], self.offers())
@@ -49,10 +49,10 @@
         self.offered()
 
     def test_two_crashes_of_one_name_count_as_two(self):
-        """One request takes an endpoint down each time that it starts.
+        """One request crashes an endpoint after each of its starts.
 
-        Both crashes bear the endpoint's name. Counted as one, the request
-        would go on to crash it for ever.
+        Both crashes have the endpoint's name. If they counted as one, the
+        request would go on to crash it forever.
         """
         for number in range(2):
             self.list(plain(FIRST_MS + number, capacity=1), at_ms=100 * number)
@@ -65,28 +65,32 @@
         self.list(plain(FIRST_MS + 2), at_ms=300)
         self.assertEqual(2, len(self.state.crashes_told))
 
-    def test_adapters_of_before_are_not_believed(self):
-        """The list names the new start; what the old one held is gone."""
-        named = messages.AdapterVersion(builders.adapter_name('a3'), '1')
-        self.list(started(FIRST_MS, adapters=(named,)))
+    def test_adapters_of_the_old_start_are_not_used(self):
+        """The list names the new start; the old start's adapters are gone."""
+        listed_adapter = messages.AdapterVersion(
+            builders.adapter_name('a3'), '1'
+        )
+        self.list(started(FIRST_MS, adapters=(listed_adapter,)))
         self.list(started(SECOND_MS), at_ms=100)
         self.ask(direct.MODEL_PATH, at_ms=110, adapter='a3')
         self.assertEqual([], self.offers())
 
-    def test_sidecar_ahead_of_the_list_is_believed(self):
-        """The sidecar tells of the new start before the list does.
+    def test_sidecar_report_newer_than_the_list_is_used(self):
+        """The sidecar reports the new start before the list does.
 
-        By the list the endpoint still holds what the old start did, and
-        each request for it would be refused there.
+        According to the list the endpoint still holds the old start's
+        adapters; each request for them would be refused there.
         """
-        named = messages.AdapterVersion(builders.adapter_name('a3'), '1')
-        self.list(started(FIRST_MS, adapters=(named,)))
+        listed_adapter = messages.AdapterVersion(
+            builders.adapter_name('a3'), '1'
+        )
+        self.list(started(FIRST_MS, adapters=(listed_adapter,)))
         self.open_link(addresses.beside(ADDRESS), events.Role.ENDPOINT)
         self.report(ADDRESS, epoch=f'i-1@{SECOND_MS}')
         self.ask(direct.MODEL_PATH, at_ms=110, adapter='a3')
         self.assertEqual([], self.offers())
 
-    def test_sidecars_are_told_which_start_is_meant(self):
+    def test_demands_to_sidecars_name_the_start(self):
         self.list(started(SECOND_MS))
         self.open_link(addresses.beside(ADDRESS), events.Role.ENDPOINT)
         (demands,) = [
@@ -100,11 +104,11 @@
 
 
 class EntryTest(direct.DirectTestCase):
-    def test_endpoint_whose_entry_lapsed_and_came_back_is_sent_to(self):
+    def test_endpoint_whose_entry_expired_and_came_back_is_used(self):
         """An endpoint lost the store for some seconds while it served.
 
-        Its entry lapsed with a request under way, and came back. It got
-        nothing more for as long as the gateway lived.
+        Its entry expired with a request in flight, and came back. The endpoint
+        then got no more requests for as long as the gateway lived.
         """
         self.list(plain(FIRST_MS))
         self.ask()
@@ -116,17 +120,17 @@
         self.offered()
 
     def test_entry_of_an_unknown_service_takes_no_address(self):
-        """Another writer lists a service that there is none of.
+        """Another writer lists an endpoint of a service that does not exist.
 
-        It names the address of a living endpoint, which must stay in use.
+        The entry has the address of a live endpoint, which must stay in use.
         """
         foreign = plain(0, 'x-1', service='no-such-service')
         self.list(plain(FIRST_MS), foreign)
         self.ask()
         self.assertEqual(f'i-1@{FIRST_MS}', self.offered()[0])
 
-    def test_endpoint_that_writes_again_has_its_address_back(self):
-        """Another entry bore its address for the time of a heartbeat."""
+    def test_endpoint_that_writes_again_gets_its_address_back(self):
+        """Another entry had its address for the time of a heartbeat."""
         other = plain(FIRST_MS, 'i-2')
         self.list(plain(FIRST_MS), other)
         self.list(other, plain(FIRST_MS), at_ms=100)
--- a/test/hosted/test_shared_reads.py
+++ b/test/hosted/test_shared_reads.py
@@ -1,4 +1,4 @@
-"""Who passes on to whom what a gateway has read of the platform's log."""
+"""Passing the reads of the platform's log on to other gateways."""
 
 from berylhollow import effects
 from berylhollow import events
@@ -8,18 +8,20 @@
 from test.loader import loader_helper
 
 PART = messages.StreamPart('endpoints', 5, 6, (b'record',), 'g2')
-HOME = 'sal-kista'
+FAILURE_DOMAIN = 'sal-kista'
 
 
 class GatewayTest(direct.DirectTestCase):
     def options(self):
-        return {'failure_domain': HOME}
+        return {'failure_domain': FAILURE_DOMAIN}
 
     def setUp(self):
         super().setUp()
         self.peers = []
         rows = []
-        for number, domain in enumerate((HOME, HOME, 'sal-uppsala')):
+        for number, domain in enumerate(
+            (FAILURE_DOMAIN, FAILURE_DOMAIN, 'sal-uppsala')
+        ):
             address = f'10.0.0.{number + 1}:80'
             self.peers.append(addresses.beside(address))
             rows.append(
@@ -32,7 +34,7 @@
             self.open_link(peer, events.Role.ENDPOINT)
         self.feed(events.Ticked(at_ms, 0.5))
 
-    def told_of(self):
+    def part_receivers(self):
         """Return the sidecars that the last event sent a part to."""
         return [
             effect.peer
@@ -40,18 +42,18 @@
             if isinstance(effect.message, messages.StreamPart)
         ]
 
-    def test_sidecars_of_the_own_failure_domain_are_told(self):
-        """Bytes between failure domains are paid for."""
+    def test_part_is_sent_to_sidecars_of_the_own_failure_domain(self):
+        """Traffic between failure domains is paid for."""
         self.link(*self.peers)
         self.feed(events.StreamPartRead(10, PART))
-        self.assertEqual(sorted(self.peers[:2]), sorted(self.told_of()))
+        self.assertEqual(sorted(self.peers[:2]), sorted(self.part_receivers()))
 
-    def test_nobody_is_told_without_a_link(self):
+    def test_part_is_sent_to_nobody_without_a_link(self):
         self.feed(events.StreamPartRead(10, PART))
-        self.assertEqual([], self.told_of())
+        self.assertEqual([], self.part_receivers())
         self.assertEqual((), self.state.relays)
 
-    def listened_to(self):
+    def sidecars_listened_to(self):
         return [
             effect.peer
             for effect in self.of_type(effects.Send)
@@ -61,21 +63,21 @@
 
     def test_one_sidecar_is_listened_to(self):
         self.link(*self.peers, at_ms=50)
-        self.assertEqual([self.state.relays[0]], self.listened_to())
+        self.assertEqual([self.state.relays[0]], self.sidecars_listened_to())
 
-    def test_next_one_is_listened_to_at_once_when_a_link_breaks(self):
+    def test_next_sidecar_is_listened_to_at_once_after_a_link_breaks(self):
         """The sidecar that passes the reads on is killed.
 
-        Without a word to another one nothing more would be heard, and every
-        gateway of the failure domain would call the log by itself.
+        If no other was asked to pass them on, nothing more would arrive, and
+        every gateway of the failure domain would read the log by itself.
         """
         self.link(*self.peers, at_ms=50)
         lost, kept = self.state.relays
         self.feed(events.LinkClosed(60, lost))
         self.feed(events.Ticked(100, 0.5))
-        self.assertEqual([kept], self.listened_to())
+        self.assertEqual([kept], self.sidecars_listened_to())
 
-    def test_part_of_the_endpoint_list_is_taken_in_at_once(self):
+    def test_part_of_the_endpoint_list_is_applied_at_once(self):
         self.link(*self.peers)
         self.receive(PART, 500, self.peers[0])
         self.assertEqual(
@@ -84,7 +86,7 @@
         )
         self.assertEqual(1, len(self.of_type(effects.ReadInstances)))
 
-    def test_part_of_the_configuration_asks_for_no_list(self):
+    def test_part_of_the_configuration_reads_no_list(self):
         self.link(*self.peers)
         stream = self.state.follower.stream
         part = messages.StreamPart(stream, 5, 5, (), 'g2')
@@ -93,14 +95,14 @@
 
 
 class SidecarTest(loader_helper.LoaderTestCase):
-    def passed_on(self):
+    def part_receivers(self):
         return [
             effect.peer
             for effect in self.of_type(effects.Send)
             if effect.message == PART
         ]
 
-    def test_part_goes_to_those_who_listen(self):
+    def test_part_goes_to_gateways_that_listen(self):
         for peer in ('g2', 'g3', 'g4'):
             self.open_link(peer, events.Role.GATEWAY)
         self.want(shares_reads=True)
@@ -108,10 +110,10 @@
         self.want(peer='g3', shares_reads=True)
         self.want(peer='g4')
         self.receive(PART, peer='g2')
-        self.assertEqual([loader_helper.PEER, 'g3'], self.passed_on())
+        self.assertEqual([loader_helper.PEER, 'g3'], self.part_receivers())
 
-    def test_part_goes_to_nobody_whose_link_is_gone(self):
+    def test_part_goes_to_no_gateway_whose_link_is_closed(self):
         self.want(shares_reads=True)
         self.feed(events.LinkClosed(10, loader_helper.PEER))
         self.receive(PART, peer='g2')
-        self.assertEqual([], self.passed_on())
+        self.assertEqual([], self.part_receivers())
