--- a/berylhollow/settings/__init__.py
+++ b/berylhollow/settings/__init__.py
@@ -1,8 +1,8 @@
-"""Settings of a process: JSON with comments, checked whole at start.
+"""Settings of a process: JSON with comments, validated in full at start.
 
 Each option is declared once, as a field of a role's frozen dataclass. The
 shipped defaults file, the reference page, the ``settings`` command and the
-check are all read from that declaration.
+validation are all derived from that declaration.
 """
 
 from berylhollow.settings import _check
--- a/berylhollow/settings/_check.py
+++ b/berylhollow/settings/_check.py
@@ -1,4 +1,4 @@
-"""Check settings whole against their declaration; name every fault."""
+"""Validate settings against their declarations and report every fault."""
 
 import collections
 import collections.abc
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """One thing that is wrong, at a dotted path such as ``listen.port``."""
+    """A problem with the option at a dotted path such as ``listen.port``."""
 
     path: str
     message: str
@@ -24,7 +24,7 @@
 
 
 class SettingsError(exits.UserError):
-    """Settings that can't be used; ``faults`` names every reason."""
+    """Raised for invalid settings; ``faults`` lists every problem found."""
 
     def __init__(self, faults: collections.abc.Sequence[Fault]):
         self.faults = tuple(faults)
@@ -33,15 +33,15 @@
 
 
 class Members(list[tuple[str, object]]):
-    """Keys and values of an object as written, repeated keys and all."""
+    """Keys and values of a JSON object in order, repeated keys included."""
 
 
 def parse(mapping: object, role: _roles.Role | str) -> typing.Any:
     """Return the role's settings from a mapping, with defaults filled in.
 
-    ``mapping`` is a mapping, or the ``Members`` of a parsed file. Raises
-    ``SettingsError`` with every fault found, and ``ValueError`` for a role
-    that doesn't exist.
+    ``mapping`` is a mapping or the ``Members`` of a parsed file. Raises
+    ``SettingsError`` with every fault found, and ``ValueError`` for an
+    unknown role.
     """
     settings_type = _roles.SETTINGS_TYPES[_roles.Role(role)]
     faults: list[Fault] = []
@@ -54,7 +54,7 @@
 def _check_section(settings_type, section, path, faults):
     members = _members(section)
     if members is None:
-        kind = _options.kind_of(section)
+        kind = _options.json_kind(section)
         faults.append(
             Fault(path or ROOT_PATH, f'must be an object, not {kind}')
         )
@@ -63,13 +63,13 @@
     given = dict(members)
     values = {}
     for field in dataclasses.fields(settings_type):
-        field_path = _join(path, field.name)
+        field_path = _join_path(path, field.name)
         if field.name in given:
             value = _check_value(field, given[field.name], field_path, faults)
             values[field.name] = value
         else:
             _check_missing(field, field_path, faults)
-    # Only a value that is known to be whole may be built.
+    # The settings object is built only if no fault has been found.
     return None if faults else settings_type(**values)
 
 
@@ -87,9 +87,13 @@
         name for name, _ in members
     ).items():
         if name not in known:
-            faults.append(Fault(_join(path, name), 'is no known option'))
+            faults.append(
+                Fault(_join_path(path, name), 'is not a known option')
+            )
         if count > 1:
-            faults.append(Fault(_join(path, name), f'is given {count} times'))
+            faults.append(
+                Fault(_join_path(path, name), f'is given {count} times')
+            )
 
 
 def _check_value(field, value, path, faults):
@@ -113,9 +117,9 @@
     if _options.METADATA_KEY in field.metadata:
         faults.append(Fault(path, 'is required'))
         return
-    # A required section that is absent: name the options it lacks.
+    # Reports the required options of an absent section one by one.
     _check_section(field.type, {}, path, faults)
 
 
-def _join(path: str, name: object) -> str:
+def _join_path(path: str, name: object) -> str:
     return f'{path}.{name}' if path else str(name)
--- a/berylhollow/settings/_describe.py
+++ b/berylhollow/settings/_describe.py
@@ -1,4 +1,4 @@
-"""Describe the options: defaults file, reference page and rows."""
+"""Generate the defaults file and the reference page from the options."""
 
 import collections.abc
 import dataclasses
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Row:
-    """One option of one role; ``default`` is JSON, or None if required."""
+    """An option of a role; ``default`` is JSON, or None if it is required."""
 
     role: str
     path: str
@@ -29,40 +29,40 @@
 def describe(
     roles: collections.abc.Iterable[_roles.Role] = tuple(_roles.Role),
 ) -> tuple[Row, ...]:
-    """Return a row per option of the roles, in the order declared."""
+    """Return one row per option of the roles, in declaration order."""
     rows: list[Row] = []
     for role in roles:
         settings_type = _roles.SETTINGS_TYPES[_roles.Role(role)]
-        rows.extend(_rows(str(role), settings_type, ''))
+        rows.extend(_option_rows(str(role), settings_type, ''))
     return tuple(rows)
 
 
-def _rows(role, settings_type, prefix) -> typing.Iterator[Row]:
+def _option_rows(role, settings_type, prefix) -> typing.Iterator[Row]:
     for field in dataclasses.fields(settings_type):
         path = f'{prefix}{field.name}'
         option = field.metadata.get(_options.METADATA_KEY)
         if option is None:
-            yield from _rows(role, field.type, f'{path}.')
+            yield from _option_rows(role, field.type, f'{path}.')
             continue
         yield Row(
             role=role,
             path=path,
             type=option.type_name,
-            default=_default(field),
+            default=_default_json(field),
             unit=option.unit,
             range=option.range,
             meaning=option.meaning,
         )
 
 
-def _default(field: dataclasses.Field) -> str | None:
+def _default_json(field: dataclasses.Field) -> str | None:
     if field.default is dataclasses.MISSING:
         return None
     return json.dumps(field.default)
 
 
 def defaults_text() -> str:
-    """Return the shipped file that lists every option with its default."""
+    """Return the shipped defaults file, which lists every option."""
     lines = [
         '// Every setting with its default, by role. The settings file of a',
         "// process holds what stands inside its role's braces, and needs",
@@ -87,19 +87,19 @@
             yield from _section_lines(field.type, depth + 1)
             yield f'{indent}}},'
             continue
-        yield from _comment(option, indent)
-        default = _default(field)
+        yield from _comment_lines(option, indent)
+        default = _default_json(field)
         if default is None:
             yield f'{indent}// "{field.name}": (required),'
         else:
             yield f'{indent}"{field.name}": {default},'
 
 
-def _comment(option: _options.Option, indent: str) -> list[str]:
-    facts = [option.type_name, option.range, option.unit]
-    facts_text = ', '.join(fact for fact in facts if fact)
+def _comment_lines(option: _options.Option, indent: str) -> list[str]:
+    details = [option.type_name, option.range, option.unit]
+    details_text = ', '.join(detail for detail in details if detail)
     return textwrap.wrap(
-        f'{option.meaning} ({facts_text})',
+        f'{option.meaning} ({details_text})',
         width=LINE_LENGTH,
         initial_indent=f'{indent}// ',
         subsequent_indent=f'{indent}// ',
@@ -108,7 +108,7 @@
 
 
 def reference_text() -> str:
-    """Return the reference page in Markdown."""
+    """Return the reference page of settings in Markdown."""
     lines = [
         '# Settings',
         '',
@@ -129,8 +129,10 @@
     yield '|---|---|---|---|---|'
     for row in describe([role]):
         default = 'required' if row.default is None else f'`{row.default}`'
-        facts = ', '.join(fact for fact in (row.type, row.range) if fact)
+        details = ', '.join(
+            detail for detail in (row.type, row.range) if detail
+        )
         yield (
-            f'| `{row.path}` | {default} | {row.unit} | {facts} '
+            f'| `{row.path}` | {default} | {row.unit} | {details} '
             f'| {row.meaning} |'
         )
--- a/berylhollow/settings/_options.py
+++ b/berylhollow/settings/_options.py
@@ -1,4 +1,4 @@
-"""Kinds of option, each a dataclass field that carries its own check."""
+"""Functions that declare an option as a dataclass field with its check."""
 
 import dataclasses
 import enum
@@ -12,10 +12,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Option:
-    """What is known of one option beside its name and default.
+    """Type, meaning and check of an option, without its name and default.
 
-    ``check`` returns the value to keep, or raises ``ValueError`` with what is
-    wrong in words that follow the option's path.
+    ``check`` returns the value to store, or raises ``ValueError`` with a
+    message such as ``must be an integer``, printed after the option's path.
     """
 
     type_name: str
@@ -26,7 +26,7 @@
     secret: bool = False
 
 
-def _field(option: Option, default: object) -> typing.Any:
+def _option_field(option: Option, default: object) -> typing.Any:
     return dataclasses.field(default=default, metadata={METADATA_KEY: option})
 
 
@@ -38,16 +38,18 @@
     high: int,
     unit: str = '',
 ) -> typing.Any:
-    """A whole number from ``low`` to ``high``."""
+    """Declare an integer option from ``low`` to ``high``."""
 
     def check(value: object) -> int:
-        # bool is a subclass of int: ``true`` would pass for 1.
+        # bool is a subclass of int, so ``true`` would be accepted as 1.
         if not isinstance(value, int) or isinstance(value, bool):
-            raise ValueError(f'must be an integer, not {kind_of(value)}')
-        return typing.cast(int, _in_range(value, low, high))
+            raise ValueError(f'must be an integer, not {json_kind(value)}')
+        return typing.cast(int, _require_in_range(value, low, high))
 
     bounds = f'{low} to {high}'
-    return _field(Option('integer', meaning, check, unit, bounds), default)
+    return _option_field(
+        Option('integer', meaning, check, unit, bounds), default
+    )
 
 
 def number(
@@ -58,58 +60,60 @@
     high: float,
     unit: str = '',
 ) -> typing.Any:
-    """A number from ``low`` to ``high``; NaN and infinities are refused."""
+    """Declare a number from ``low`` to ``high``; NaN and infinity fail."""
 
     def check(value: object) -> float:
         if not isinstance(value, (int, float)) or isinstance(value, bool):
-            raise ValueError(f'must be a number, not {kind_of(value)}')
-        return float(_in_range(value, low, high))
+            raise ValueError(f'must be a number, not {json_kind(value)}')
+        return float(_require_in_range(value, low, high))
 
     bounds = f'{low} to {high}'
-    return _field(Option('number', meaning, check, unit, bounds), default)
+    return _option_field(
+        Option('number', meaning, check, unit, bounds), default
+    )
 
 
-def _in_range(value: float, low: float, high: float) -> float:
-    # Written so that NaN, which compares false with all, is refused too.
+def _require_in_range(value: float, low: float, high: float) -> float:
+    # Rejects NaN as well, since every comparison with NaN is false.
     if not low <= value <= high:
         raise ValueError(f'must be from {low} to {high}, not {value}')
     return value
 
 
 def flag(meaning: str, *, default: typing.Any = REQUIRED) -> typing.Any:
-    """True or false."""
+    """Declare a boolean option."""
 
     def check(value: object) -> bool:
         if not isinstance(value, bool):
-            raise ValueError(f'must be true or false, not {kind_of(value)}')
+            raise ValueError(f'must be true or false, not {json_kind(value)}')
         return value
 
-    return _field(Option('boolean', meaning, check), default)
+    return _option_field(Option('boolean', meaning, check), default)
 
 
 def text(
     meaning: str,
     *,
     default: typing.Any = REQUIRED,
-    shortest: int = 1,
-    longest: int = 128,
+    min_length: int = 1,
+    max_length: int = 128,
     secret: bool = False,
 ) -> typing.Any:
-    """A text of ``shortest`` to ``longest`` characters."""
+    """Declare a string of ``min_length`` to ``max_length`` characters."""
 
     def check(value: object) -> str:
-        value = _string(value)
-        if not shortest <= len(value) <= longest:
+        value = _require_string(value)
+        if not min_length <= len(value) <= max_length:
             raise ValueError(
-                f'must have {shortest} to {longest} characters, '
+                f'must have {min_length} to {max_length} characters, '
                 f'not {len(value)}'
             )
         return value
 
-    bounds = f'{shortest} to {longest} characters'
+    bounds = f'{min_length} to {max_length} characters'
     option = Option('string', meaning, check, range=bounds, secret=secret)
-    option_field = _field(option, default)
-    # A secret must not reach a log through the repr of its settings.
+    option_field = _option_field(option, default)
+    # Keeps the secret out of logs that print the settings object.
     option_field.repr = not secret
     return option_field
 
@@ -120,40 +124,42 @@
     *,
     default: typing.Any = REQUIRED,
 ) -> typing.Any:
-    """One of the texts of an enum."""
+    """Declare an option whose value is a member of a string enum."""
     names = ', '.join(values)
 
     def check(value: object) -> enum.StrEnum:
-        value = _string(value)
+        value = _require_string(value)
         if value not in set(values):
             raise ValueError(f'must be one of {names}, not {value!r}')
         return values(value)
 
-    return _field(Option('string', meaning, check, range=names), default)
+    return _option_field(
+        Option('string', meaning, check, range=names), default
+    )
 
 
 def address(meaning: str, *, default: typing.Any = REQUIRED) -> typing.Any:
-    """An IP address as a literal; a host name is refused."""
+    """Declare an IP address option; host names are rejected."""
 
     def check(value: object) -> str:
-        return _ip_literal(_string(value))
+        return _parse_ip_literal(_require_string(value))
 
     option = Option('string', meaning, check, range='IP literal')
-    return _field(option, default)
+    return _option_field(option, default)
 
 
 def http_url(meaning: str, *, default: typing.Any = REQUIRED) -> typing.Any:
-    """A URL ``http://IP:PORT`` without path; a host name is refused."""
+    """Declare a URL ``http://IP:PORT``; paths and host names are rejected."""
 
     def check(value: object) -> str:
-        return parse_http_url(_string(value))
+        return parse_http_url(_require_string(value))
 
     option = Option('string', meaning, check, range='http://IP:PORT')
-    return _field(option, default)
+    return _option_field(option, default)
 
 
 def parse_http_url(value: str) -> str:
-    """Return ``http://IP:PORT``; ``ValueError`` for anything else."""
+    """Return a valid ``http://IP:PORT`` URL, or raise ``ValueError``."""
     try:
         parts = urllib.parse.urlsplit(value)
         port = parts.port
@@ -164,11 +170,11 @@
         raise ValueError(f'must be http://IP:PORT, not {value!r}')
     if not port:
         raise ValueError(f'must name a port, not {value!r}')
-    _ip_literal(parts.hostname or '')
+    _parse_ip_literal(parts.hostname or '')
     return value.rstrip('/')
 
 
-def _ip_literal(value: str) -> str:
+def _parse_ip_literal(value: str) -> str:
     try:
         return str(ipaddress.ip_address(value))
     except ValueError:
@@ -177,9 +183,9 @@
         ) from None
 
 
-def _string(value: object) -> str:
+def _require_string(value: object) -> str:
     if not isinstance(value, str):
-        raise ValueError(f'must be a string, not {kind_of(value)}')
+        raise ValueError(f'must be a string, not {json_kind(value)}')
     return value
 
 
@@ -193,8 +199,8 @@
 )
 
 
-def kind_of(value: object) -> str:
-    """Return the JSON kind of a value, as messages name it."""
+def json_kind(value: object) -> str:
+    """Return the JSON type of a value, worded for error messages."""
     for python_type, name in JSON_KINDS:
         if isinstance(value, python_type):
             return name
--- a/berylhollow/settings/_replay.py
+++ b/berylhollow/settings/_replay.py
@@ -1,15 +1,15 @@
-"""The options of a replay: a deployment on paper."""
+"""Options of a replay, which simulates a deployment."""
 
 import dataclasses
 
 from berylhollow.settings import _options
 
-LONGEST_MS = 60 * 60 * 1000
+MAX_DURATION_MS = 60 * 60 * 1000
 
 
 def _duration(meaning: str, default: float) -> float:
     return _options.number(
-        meaning, default=default, low=0, high=LONGEST_MS, unit='ms'
+        meaning, default=default, low=0, high=MAX_DURATION_MS, unit='ms'
     )
 
 
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReplayEngineSettings:
-    """The engines of one service and what a step of theirs takes."""
+    """Engines of one service and the durations of their steps."""
 
     service: str = _options.text('Service of the engines.', default='modelos')
     count: int = _count('Engines.', 5)
@@ -33,21 +33,21 @@
         "How late the engine's status is.",
         default=500,
         low=0,
-        high=LONGEST_MS,
+        high=MAX_DURATION_MS,
         unit='ms',
     )
     restart_ms: int = _options.integer(
         'How long a crashed engine stays away.',
         default=3000,
         low=0,
-        high=LONGEST_MS,
+        high=MAX_DURATION_MS,
         unit='ms',
     )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReplayPlainSettings:
-    """The endpoints of one plain service."""
+    """Endpoints of one service without adapters."""
 
     service: str = _options.text('Service without adapters.', default='balcao')
     count: int = _count('Endpoints.', 4)
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReplayWeightsSettings:
-    """The weight store."""
+    """Rate limit and load times of the weight store."""
 
     loads_per_s: float = _options.number(
         'Loads that the weight store allows a second.',
@@ -79,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReplayLatencySettings:
-    """One-way times between the parts."""
+    """One-way latencies between the processes, and the tick interval."""
 
     caller_ms: float = _duration('Caller to gateway.', 3)
     link_ms: float = _duration('Gateway to sidecar.', 1.5)
@@ -89,7 +89,7 @@
         'Pause between ticks of a reducer.',
         default=50,
         low=1,
-        high=LONGEST_MS,
+        high=MAX_DURATION_MS,
         unit='ms',
     )
 
@@ -102,8 +102,8 @@
         'Manifest file, relative to this one; adapters of the trace that it '
         'does not declare are added to it. Empty declares just those.',
         default='',
-        shortest=0,
-        longest=1024,
+        min_length=0,
+        max_length=1024,
     )
     policy: str = _options.text('Adapter policy.', default='adaptive')
     gateways: int = _options.integer('Gateways.', default=3, low=1, high=1000)
@@ -111,13 +111,13 @@
         'Failure domains, separated by commas; instances are spread over '
         'them.',
         default='local',
-        longest=1024,
+        max_length=1024,
     )
     report_ms: int = _options.integer(
         'Pause between the reports of a sidecar to its gateways.',
         default=250,
         low=1,
-        high=LONGEST_MS,
+        high=MAX_DURATION_MS,
         unit='ms',
     )
     engines: ReplayEngineSettings = dataclasses.field(
--- a/berylhollow/settings/_roles.py
+++ b/berylhollow/settings/_roles.py
@@ -1,4 +1,4 @@
-"""The options of each role, each declared once as a dataclass field."""
+"""Options of each role, each declared once as a dataclass field."""
 
 import dataclasses
 import enum
@@ -10,11 +10,11 @@
 DAY_MS = 24 * 60 * 60 * 1000
 HOUR_MS = 60 * 60 * 1000
 MINUTE_MS = 60 * 1000
-LARGEST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 class Role(enum.StrEnum):
-    """The commands that read settings: the processes, and the replay."""
+    """Commands that read settings: the server processes and the replay."""
 
     GATEWAY = 'gateway'
     SIDECAR = 'sidecar'
@@ -25,7 +25,7 @@
 
 
 class LogLevel(enum.StrEnum):
-    """Least severity that is logged."""
+    """Lowest severity that is logged."""
 
     DEBUG = 'debug'
     INFO = 'info'
@@ -34,24 +34,24 @@
 
 
 class EndpointKind(enum.StrEnum):
-    """What stands behind a sidecar."""
+    """Kind of the endpoint that a sidecar serves."""
 
     ENGINE = 'engine'
     PLAIN = 'plain'
 
 
 def _section(settings: type) -> typing.Any:
-    """A nested group of options that all have defaults."""
+    """Declare a nested group of options that all have defaults."""
     return dataclasses.field(default_factory=settings)
 
 
 def _required_section() -> typing.Any:
-    """A nested group with at least one option that has no default."""
+    """Declare a nested group with at least one required option."""
     return dataclasses.field()
 
 
 def _port(meaning: str, default: int) -> typing.Any:
-    return _options.integer(meaning, default=default, low=0, high=LARGEST_PORT)
+    return _options.integer(meaning, default=default, low=0, high=MAX_PORT)
 
 
 def _duration(
@@ -78,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CommonSettings:
-    """Options that every role has."""
+    """Options that all processes share."""
 
     instance: str = _options.text('Name of this instance, unique in all.')
     failure_domain: str = _options.text(
@@ -90,8 +90,8 @@
     link_key: str = _options.text(
         'Secret that all processes of one deployment share; it '
         'authenticates the links between them.',
-        shortest=16,
-        longest=512,
+        min_length=16,
+        max_length=512,
         secret=True,
     )
     log: LogSettings = _section(LogSettings)
--- a/test/settings/test_settings.py
+++ b/test/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of loading, checking and describing settings."""
+"""Tests of loading, validating and describing settings."""
 
 import dataclasses
 import json
@@ -33,7 +33,7 @@
         self.assertEqual(caught.exception.exit_code, 2)
         return {fault.path: fault.message for fault in caught.exception.faults}
 
-    def test_defaults_fill_what_is_absent(self):
+    def test_absent_options_take_their_defaults(self):
         gateway = settings.parse(GATEWAY, settings.Role.GATEWAY)
         self.assertIsInstance(gateway, settings.GatewaySettings)
         self.assertEqual(gateway.listen.port, 8080)
@@ -99,7 +99,7 @@
         self.assertIn('host name', faults['listen.host'])
         self.assertNotIn('short', faults['link_key'])
 
-    def test_bad_urls_are_refused(self):
+    def test_bad_urls_are_rejected(self):
         for url in (
             'https://127.0.0.1:80',
             'http://127.0.0.1',
@@ -114,7 +114,7 @@
                 faults = self.faults(REQUIRED | {'platform': {'url': url}})
                 self.assertEqual(set(faults), {'platform.url'})
 
-    def test_ipv6_url_is_taken(self):
+    def test_ipv6_url_is_accepted(self):
         mapping = REQUIRED | {'platform': {'url': 'http://[::1]:80/'}}
         gateway = settings.parse(mapping, 'gateway')
         self.assertEqual(gateway.platform.url, 'http://[::1]:80')
@@ -135,8 +135,9 @@
         self.assertEqual(gateway.tick_ms, 25)
 
     def test_key_written_twice_is_a_fault(self):
-        # A user raises a limit near the top of the file and nothing happens:
-        # a later line for the same key wins, and a mapping drops the first.
+        # Guards against a changed option without effect: JSON parsers keep
+        # only the last of two equal keys, so a limit raised near the top of
+        # the file was overridden by a later line.
         text = json.dumps(GATEWAY)[:-1]
         faults = self.faults(
             text + ', "tick_ms": 1, "tick_ms": 2,'
