--- a/berylhollow/metrics/__init__.py
+++ b/berylhollow/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry, given out in the Prometheus text format."""
+"""OpenTelemetry metrics, exported in the Prometheus text format."""
 
 from berylhollow.metrics import _instruments
 from berylhollow.metrics import _meters
--- a/berylhollow/metrics/_instruments.py
+++ b/berylhollow/metrics/_instruments.py
@@ -1,8 +1,9 @@
-"""The table of instruments; adding one is one entry here.
+"""Table of all instruments; a new metric needs one entry here.
 
-Names follow OpenTelemetry's semantic conventions, with ``berylhollow.`` for
-our own. No attribute may name an adapter, a caller or a request: with 15,000
-adapters a series each would not fit a node's 64 MB.
+Names follow OpenTelemetry's semantic conventions, with the prefix
+``berylhollow.`` for the project's own. No attribute may name an adapter, a
+caller or a request: with 15,000 adapters, one series for each would not fit
+in a node's 64 MB.
 """
 
 import collections.abc
@@ -11,7 +12,7 @@
 
 
 class InstrumentKind(enum.StrEnum):
-    """How values of an instrument are put together."""
+    """How the values of an instrument are aggregated."""
 
     COUNTER = 'counter'
     HISTOGRAM = 'histogram'
@@ -38,18 +39,19 @@
 HISTOGRAM = InstrumentKind.HISTOGRAM
 OBSERVED_COUNTER = InstrumentKind.OBSERVED_COUNTER
 OBSERVED_GAUGE = InstrumentKind.OBSERVED_GAUGE
-OBSERVED = frozenset({OBSERVED_COUNTER, OBSERVED_GAUGE})
+OBSERVED_KINDS = frozenset({OBSERVED_COUNTER, OBSERVED_GAUGE})
 
 SERVICE = 'berylhollow.service'
 ERROR = 'error.type'
 RAN = 'berylhollow.ran'
 
-# Fine around the objectives: 0.45 s to the first token, 32 ms between tokens.
-SECONDS = (
+# Closely spaced around the objectives: 0.45 s to the first token and 32 ms
+# between tokens.
+DURATION_BUCKETS_S = (
     *(0.005, 0.01, 0.02, 0.032, 0.05, 0.1, 0.2, 0.3, 0.45, 0.6),
     *(1.0, 2.0, 5.0, 10.0, 30.0, 60.0),
 )
-BATCH = (1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0)
+BATCH_SIZE_BUCKETS = (1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0)
 
 _TABLE = (
     Instrument(
@@ -58,7 +60,7 @@
         's',
         'From the arrival of a request to the last byte of its answer.',
         ('http.request.method', 'http.response.status_code', SERVICE, ERROR),
-        SECONDS,
+        DURATION_BUCKETS_S,
     ),
     Instrument(
         'http.server.active_requests',
@@ -72,7 +74,7 @@
         's',
         'From the arrival of a request to the first byte of its answer body.',
         (SERVICE,),
-        SECONDS,
+        DURATION_BUCKETS_S,
     ),
     Instrument(
         'berylhollow.revision',
@@ -125,7 +127,7 @@
         'Time that an attempt waited for its adapter to be loaded, taken '
         'when it begins to run.',
         (SERVICE,),
-        SECONDS,
+        DURATION_BUCKETS_S,
     ),
     Instrument(
         'berylhollow.loads',
@@ -140,7 +142,7 @@
         '{attempt}',
         'Attempts running on the endpoint, taken when one begins to run.',
         (SERVICE,),
-        BATCH,
+        BATCH_SIZE_BUCKETS,
     ),
     Instrument(
         'berylhollow.running',
@@ -205,10 +207,10 @@
 def check(
     name: str, attributes: collections.abc.Iterable[str] = ()
 ) -> Instrument:
-    """Return the instrument; ``ValueError`` for what isn't in the table."""
+    """Return the instrument; raise ``ValueError`` if it isn't in the table."""
     instrument = INSTRUMENTS.get(name)
     if instrument is None:
-        raise ValueError(f'{name} is no instrument of the table')
+        raise ValueError(f'{name} is not in the table of instruments')
     for attribute in attributes:
         if attribute not in instrument.attributes:
             raise ValueError(f'{name} has no attribute {attribute}')
--- a/berylhollow/metrics/_meters.py
+++ b/berylhollow/metrics/_meters.py
@@ -1,4 +1,4 @@
-"""Take values for the instruments of the table and render them."""
+"""Record values for the instruments and render them for Prometheus."""
 
 import collections
 import collections.abc
@@ -15,32 +15,33 @@
 LOG = logging.getLogger(__name__)
 CONTENT_TYPE = 'text/plain; version=1.0.0; charset=utf-8'
 
-# More series than the table's attributes can give in a sane deployment.
-MOST_SERIES = 10_000
+# More series than the attributes of all instruments give in any reasonable
+# deployment. At this limit the cached series are flushed and discarded.
+MAX_SERIES = 10_000
 
-MOST_EARLY = 10_000
-"""Values of histograms kept until the libraries are there: what a busy
-gateway measures in ten seconds, and they are there in one."""
+MAX_BUFFERED_VALUES = 10_000
+"""Histogram values buffered until the metrics libraries are imported: what a
+busy gateway records in ten seconds, while the import takes one."""
 
 Attributes = collections.abc.Iterable[tuple[str, str]]
-Early = collections.deque[tuple[str, float, dict[str, str]]]
+BufferedValues = collections.deque[tuple[str, float, dict[str, str]]]
 
 
 class Series(typing.Protocol):
-    """One instrument with one set of attributes."""
+    """Values of one instrument with one set of attributes."""
 
     def add(self, value: float) -> None:
-        """Take a value."""
+        """Add a value to a sum, or record it in a histogram."""
 
     def flush(self, sdk: '_sdk.Sdk') -> None:
-        """Pass on what was not passed on yet."""
+        """Pass the pending values to the SDK."""
 
 
-class Summed:
-    """A counter's series: its sum goes to the SDK only when rendered.
+class CounterSeries:
+    """Series of a counter, which passes its sum to the SDK on rendering.
 
-    A call into the SDK costs about twenty microseconds, a request makes
-    several of them, and only a rendering reads what they give.
+    A call into the SDK takes about twenty microseconds and a request would
+    make several, but only a rendering reads their result.
     """
 
     def __init__(self, name: str, attributes: dict[str, str]):
@@ -53,12 +54,12 @@
 
     def flush(self, sdk: '_sdk.Sdk') -> None:
         if self.value:
-            sdk.takers[self.name](self.value, self.attributes)
+            sdk.recorders[self.name](self.value, self.attributes)
             self.value = 0.0
 
 
-class Recorded:
-    """A histogram's series: each value has to reach the SDK."""
+class HistogramSeries:
+    """Series of a histogram, whose every value must reach the SDK."""
 
     def __init__(
         self, meters: 'Meters', name: str, attributes: dict[str, str]
@@ -70,9 +71,11 @@
     def add(self, value: float) -> None:
         sdk = self.meters.sdk
         if sdk is None:
-            self.meters.early.append((self.name, value, self.attributes))
+            self.meters.buffered_values.append(
+                (self.name, value, self.attributes)
+            )
         else:
-            sdk.takers[self.name](value, self.attributes)
+            sdk.recorders[self.name](value, self.attributes)
 
     def flush(self, sdk: '_sdk.Sdk') -> None:
         pass
@@ -81,32 +84,34 @@
 class Meters:
     """The metrics of one process.
 
-    The libraries that keep and render them take a sixth of the processor
-    time that a process needs to start, and nothing depends on them until
-    somebody reads the metrics. They are imported by ``open``, which a
-    service calls in a thread once it listens; until then values are kept.
+    Importing the metrics libraries takes a sixth of the CPU time of a
+    process start, and nothing needs them until the metrics are read. They
+    are therefore imported by ``open``, which a service calls in a thread
+    once it listens; until then values are buffered.
     """
 
     def __init__(self, role: str, instance: str, failure_domain: str):
         self.identity = (role, instance, failure_domain)
         self.sdk: _sdk.Sdk | None = None
-        self.early: Early = collections.deque(maxlen=MOST_EARLY)
-        self._opening = threading.Lock()
-        self._observed: list[tuple] = []
+        self.buffered_values: BufferedValues = collections.deque(
+            maxlen=MAX_BUFFERED_VALUES
+        )
+        self._open_lock = threading.Lock()
+        self._registrations: list[tuple] = []
         self._series: dict[tuple, Series] = {}
         self._rejected: set[str] = set()
         self.observe('berylhollow.log_lines_dropped', logs.dropped)
 
     def open(self) -> None:
-        """Import the libraries and make the instruments, once."""
-        with self._opening:
+        """Import the metrics libraries and create the instruments, once."""
+        with self._open_lock:
             if self.sdk is not None:
                 return
             from berylhollow.metrics import _sdk
 
             sdk = _sdk.Sdk(*self.identity)
-            for observed in self._observed:
-                sdk.observe(*observed)
+            for registration in self._registrations:
+                sdk.observe(*registration)
             self.sdk = sdk
 
     def add(
@@ -116,41 +121,41 @@
 
         A name or attribute that isn't in the table is logged once and
         counted, not raised: a metric must not break the request it measures.
-        Tests find such names with ``check``.
+        Tests detect such names with ``check``.
         """
         key = (name, tuple(attributes))
         series = self._series.get(key)
         if series is None:
-            series = self._open_series(name, dict(key[1]))
+            series = self._create_series(name, dict(key[1]))
             if series is None:
                 return
             self._series[key] = series
         series.add(value)
 
-    def _open_series(
+    def _create_series(
         self, name: str, attributes: dict[str, str]
     ) -> Series | None:
-        """Return the series of a name and its attributes, if in the table."""
+        """Return a new series, or None if the table does not allow it."""
         try:
             instrument = _instruments.check(name, attributes)
         except ValueError as error:
             self._reject(str(error))
             return None
-        if instrument.kind in _instruments.OBSERVED:
-            self._reject(f'{name} is observed, not added to')
+        if instrument.kind in _instruments.OBSERVED_KINDS:
+            self._reject(f'{name} is read by a callback; add() is not allowed')
             return None
-        if len(self._series) >= MOST_SERIES:
+        if len(self._series) >= MAX_SERIES:
             self._flush()
             self._series.clear()
         if instrument.kind is _instruments.HISTOGRAM:
-            return Recorded(self, name, attributes)
-        return Summed(name, attributes)
+            return HistogramSeries(self, name, attributes)
+        return CounterSeries(name, attributes)
 
     def _flush(self) -> '_sdk.Sdk':
         self.open()
-        while self.early:
-            name, value, attributes = self.early.popleft()
-            self.sdk.takers[name](value, attributes)
+        while self.buffered_values:
+            name, value, attributes = self.buffered_values.popleft()
+            self.sdk.recorders[name](value, attributes)
         for series in self._series.values():
             series.flush(self.sdk)
         return self.sdk
@@ -167,17 +172,19 @@
         read: collections.abc.Callable[[], float],
         attributes: Attributes = (),
     ) -> None:
-        """Call ``read`` for the value of an observed instrument.
+        """Register ``read`` as the source of an observed instrument.
 
         It is called at each rendering. Raises ``ValueError`` for a name or
         attribute that isn't in the table, or isn't observed.
         """
         attributes = dict(attributes)
         instrument = _instruments.check(name, attributes)
-        if instrument.kind not in _instruments.OBSERVED:
-            raise ValueError(f'{name} is added to, not observed')
-        with self._opening:
-            self._observed.append((instrument, read, attributes))
+        if instrument.kind not in _instruments.OBSERVED_KINDS:
+            raise ValueError(
+                f'{name} takes values by add(); observe() is not allowed'
+            )
+        with self._open_lock:
+            self._registrations.append((instrument, read, attributes))
             if self.sdk is not None:
                 self.sdk.observe(instrument, read, attributes)
 
--- a/berylhollow/metrics/_page.py
+++ b/berylhollow/metrics/_page.py
@@ -1,4 +1,4 @@
-"""The page on which metrics are read, and making it ready."""
+"""Serve the metrics page and prepare it in the background."""
 
 import logging
 import threading
@@ -11,23 +11,24 @@
 
 
 def open_soon(meters: _meters.Meters) -> None:
-    """Have the metrics ready without holding up what is served meanwhile.
+    """Import the metrics libraries in a thread, without blocking requests.
 
-    The import runs in a thread, which gives way every few milliseconds. The
-    thread is a daemon: one of the event loop's own would be waited for by a
-    process that is told to stop, for seconds on a busy instance.
+    The interpreter switches threads every few milliseconds, so requests go
+    on during the import. The thread is a daemon, not one of the event loop's
+    executor: a stopping process waits for those, for seconds on a busy
+    instance.
     """
-    threading.Thread(target=_open, args=(meters,), daemon=True).start()
+    threading.Thread(target=_open_or_log, args=(meters,), daemon=True).start()
 
 
-def _open(meters: _meters.Meters) -> None:
+def _open_or_log(meters: _meters.Meters) -> None:
     try:
         meters.open()
     except Exception:
-        LOG.exception('no metrics')
+        LOG.exception('could not create the metrics')
 
 
 def page(meters: _meters.Meters) -> web.Response:
-    """Return all metrics in the Prometheus text format."""
+    """Return the response with all metrics as Prometheus text."""
     headers = {'Content-Type': _meters.CONTENT_TYPE}
     return web.Response(body=meters.render(), headers=headers)
--- a/berylhollow/metrics/_sdk.py
+++ b/berylhollow/metrics/_sdk.py
@@ -1,4 +1,4 @@
-"""The libraries that keep and render metrics, imported only when needed."""
+"""The OpenTelemetry and Prometheus libraries, imported only when needed."""
 
 import collections.abc
 import typing
@@ -12,11 +12,11 @@
 import berylhollow
 from berylhollow.metrics import _instruments
 
-Taker = collections.abc.Callable[[float, dict[str, str]], None]
+Recorder = collections.abc.Callable[[float, dict[str, str]], None]
 
 
 class Sdk:
-    """The instruments of one process, in a registry of their own."""
+    """The instruments of one process, in their own Prometheus registry."""
 
     def __init__(self, role: str, instance: str, failure_domain: str):
         self.registry = prometheus_client.CollectorRegistry()
@@ -41,10 +41,10 @@
             shutdown_on_exit=False,
         )
         self.meter = self.provider.get_meter('berylhollow')
-        self.takers: dict[str, Taker] = {
-            instrument.name: _taker(self.meter, instrument)
+        self.recorders: dict[str, Recorder] = {
+            instrument.name: _create_recorder(self.meter, instrument)
             for instrument in _instruments.INSTRUMENTS.values()
-            if instrument.kind not in _instruments.OBSERVED
+            if instrument.kind not in _instruments.OBSERVED_KINDS
         }
 
     def observe(
@@ -53,7 +53,7 @@
         read: collections.abc.Callable[[], float],
         attributes: dict[str, str],
     ) -> None:
-        """Call ``read`` for a value at each rendering."""
+        """Create an instrument that calls ``read`` at each rendering."""
 
         def callback(_options: typing.Any) -> list:
             return [otel_metrics.Observation(read(), attributes)]
@@ -72,10 +72,11 @@
         return prometheus_client.generate_latest(self.registry)
 
 
-def _taker(meter, instrument: _instruments.Instrument) -> Taker:
-    facts = (instrument.name, instrument.unit, instrument.meaning)
+def _create_recorder(meter, instrument: _instruments.Instrument) -> Recorder:
+    arguments = (instrument.name, instrument.unit, instrument.meaning)
     if instrument.kind is _instruments.HISTOGRAM:
         return meter.create_histogram(
-            *facts, explicit_bucket_boundaries_advisory=instrument.buckets
+            *arguments,
+            explicit_bucket_boundaries_advisory=instrument.buckets,
         ).record
-    return meter.create_counter(*facts).add
+    return meter.create_counter(*arguments).add
--- a/test/test_metrics.py
+++ b/test/test_metrics.py
@@ -10,7 +10,7 @@
 import berylhollow
 from berylhollow import metrics
 
-TAKERS = ('Count', 'add', 'count', 'observe')
+RECORDING_FUNCTIONS = ('Count', 'add', 'count', 'observe')
 PREFIXES = ('berylhollow.', 'http.')
 SERVICE = ('berylhollow.service', 'vaxel-ai')
 
@@ -53,8 +53,8 @@
         self.assertIn('service_instance_id="one"', text)
 
     def test_value_outside_the_table_is_counted_not_raised(self):
-        # Memory grows until the node is killed: someone labelled a metric
-        # with the adapter, and each of thousands became a series.
+        # Guards against memory that grows until the node is killed: a metric
+        # labelled with the adapter has a series for each of thousands.
         adapter = [('berylhollow.adapter', 'a')]
         with self.assertLogs('berylhollow.metrics', 'ERROR') as caught:
             self.meters.add('berylhollow.loads', 1, adapter)
@@ -66,19 +66,19 @@
         self.assertIn('berylhollow_metrics_rejected_total 4.0\n', text)
         self.assertNotIn('berylhollow_adapter', text)
 
-    def test_two_sets_of_meters_are_apart(self):
+    def test_meters_do_not_share_values(self):
         self.meters.add('berylhollow.loads')
         other = metrics.Meters('sidecar', 'two', 'sal-kista')
         self.assertNotIn('berylhollow_loads', other.render().decode())
 
-    def test_observing_what_is_not_observed_is_a_mistake(self):
+    def test_observe_rejects_instruments_that_are_not_observed(self):
         for name in ('berylhollow.loads', 'berylhollow.nonsense'):
             with self.subTest(name), self.assertRaises(ValueError):
                 self.meters.observe(name, lambda: 1)
 
 
 class TableTest(unittest.TestCase):
-    def test_table_is_documented_and_lean(self):
+    def test_instruments_have_meanings_and_no_unbounded_attributes(self):
         forbidden = re.compile(r'adapter|caller|request_id|attempt')
         for instrument in metrics.INSTRUMENTS.values():
             with self.subTest(instrument.name):
@@ -94,13 +94,13 @@
                 )
 
     def test_table_and_code_name_the_same_metrics(self):
-        # A dashboard stays empty: its metric is documented and nothing takes
-        # it, or it is taken under a name that the table lacks.
-        self.assertEqual(taken_names(), set(metrics.INSTRUMENTS))
+        # Guards against an empty dashboard: a documented metric that no code
+        # records, or one recorded under a name that the table lacks.
+        self.assertEqual(recorded_names(), set(metrics.INSTRUMENTS))
 
 
-def taken_names():
-    """Return the names that the package gives to Count, add and the like."""
+def recorded_names():
+    """Return the metric names in calls of the recording functions."""
     folder = pathlib.Path(berylhollow.__file__).parent
     trees = (
         ast.parse(path.read_text(encoding='utf-8'))
@@ -119,7 +119,7 @@
     for call in ast.walk(tree):
         if not isinstance(call, ast.Call) or not call.args:
             continue
-        if getattr(call.func, 'attr', '') in TAKERS:
+        if getattr(call.func, 'attr', '') in RECORDING_FUNCTIONS:
             first = call.args[0]
             first = constants.get(getattr(first, 'id', ''), first)
             name = getattr(first, 'value', None)
@@ -129,27 +129,28 @@
 
 class OpenSoonTest(unittest.TestCase):
     def test_stop_does_not_wait_for_the_libraries(self):
-        """A sidecar was told to stop just after its start, on a busy instance.
+        """Guards against a stop that waits for the metrics import.
 
-        It waited for the import of the metrics libraries in the event loop's
-        own thread, longer than its grace period, and ended with a fault.
+        When the import ran in a thread of the event loop's executor, a
+        sidecar stopped soon after its start on a busy instance waited for it
+        longer than the grace period, and exited with an error.
         """
-        let_go = threading.Event()
+        release = threading.Event()
         opened = threading.Event()
 
         class Slow:
             def open(self):
                 opened.set()
-                let_go.wait()
+                release.wait()
 
         async def serve():
             metrics.open_soon(Slow())
             opened.wait()
 
-        # Only ends a run in which the stop does wait.
-        guard = threading.Timer(5.0, let_go.set)
+        # Unblocks the import if the stop does wait for it, so the test ends.
+        guard = threading.Timer(5.0, release.set)
         guard.start()
         self.addCleanup(guard.cancel)
         asyncio.run(serve())
-        self.assertFalse(let_go.is_set())
-        let_go.set()
+        self.assertFalse(release.is_set())
+        release.set()
