--- a/berylhollow/util/__init__.py
+++ b/berylhollow/util/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers with no knowledge of the roles."""
+"""Helpers that do not depend on the process roles."""
--- a/berylhollow/util/addresses.py
+++ b/berylhollow/util/addresses.py
@@ -1,10 +1,10 @@
-"""Names that follow from addresses."""
+"""Names derived from addresses."""
 
 
 def beside(address: str) -> str:
-    """Return the name on links of the sidecar beside an address.
+    """Return the peer name of the sidecar for an endpoint's address.
 
-    Sidecars stand on the instance of their endpoint, so its IP names both;
-    no list says which instance has which sidecar.
+    A sidecar runs on the instance of its endpoint, so the IP address
+    identifies both. No list maps instances to sidecars.
     """
     return f'beside {address.rpartition(":")[0]}'
--- a/berylhollow/util/average.py
+++ b/berylhollow/util/average.py
@@ -1,4 +1,4 @@
-"""An exponentially weighted moving average that starts at its first value."""
+"""An exponentially weighted moving average seeded with its first value."""
 
 SMOOTHING = 0.1
 
@@ -6,7 +6,7 @@
 def smoothed(
     average: float, value: float, smoothing: float = SMOOTHING
 ) -> float:
-    """Return the average with one more value; 0 stands for no value yet."""
+    """Return the average updated with a value; 0 means no value so far."""
     if not average:
         return float(value)
     return average + smoothing * (value - average)
--- a/berylhollow/util/exits.py
+++ b/berylhollow/util/exits.py
@@ -1,10 +1,10 @@
-"""Exit codes of the program and the error that carries one to the user."""
+"""Exit codes of the program, and the error that carries an exit code."""
 
 import enum
 
 
 class ExitCode(enum.IntEnum):
-    """Every code the program exits with; the list is closed."""
+    """All exit codes of the program; it uses no others."""
 
     OK = 0
     FAILURE = 1
@@ -48,7 +48,7 @@
 
 
 class UserError(Exception):
-    """An error that the user can mend: a readable message, no traceback."""
+    """An error that the user can fix, printed without a traceback."""
 
     def __init__(self, message: str, exit_code: ExitCode = ExitCode.FAILURE):
         super().__init__(message)
--- a/berylhollow/util/hedging.py
+++ b/berylhollow/util/hedging.py
@@ -1,4 +1,4 @@
-"""Calls that are made a second time while the first is not answered."""
+"""Hedged calls: a second call is made if the first is slow or fails."""
 
 import asyncio
 import collections.abc
@@ -12,20 +12,20 @@
 
 async def first_answer(
     call: Call[Answer],
-    after_s: float,
-    again: tuple[type[Exception], ...] = (),
+    hedge_after_s: float,
+    retry_on: tuple[type[Exception], ...] = (),
 ) -> Answer:
-    """Return what the first of two calls to end well returns.
+    """Return the result of the first of two calls to succeed.
 
-    The second is made when the first has taken ``after_s`` or has failed with
-    one of ``again``; the one that is too late is cancelled. Only for calls
-    that may be made twice. Raises what the second raises, or the first if
-    there is no second.
+    The second call is made when the first has taken ``hedge_after_s`` or has
+    raised one of ``retry_on``; the slower call is cancelled. Only for calls
+    that may be made twice. Raises the error of the second call if both fail,
+    or of the first if there is no second.
     """
     tasks = [asyncio.ensure_future(call())]
     try:
-        await asyncio.wait(tasks, timeout=after_s)
-        if tasks[0].done() and not isinstance(tasks[0].exception(), again):
+        await asyncio.wait(tasks, timeout=hedge_after_s)
+        if tasks[0].done() and not isinstance(tasks[0].exception(), retry_on):
             return tasks[0].result()
         tasks.append(asyncio.ensure_future(call()))
         return await _first_to_succeed(tasks)
--- a/berylhollow/util/hop_by_hop.py
+++ b/berylhollow/util/hop_by_hop.py
@@ -1,4 +1,4 @@
-"""Headers that concern one connection only and are never passed on."""
+"""Hop-by-hop headers, which are never forwarded."""
 
 import collections.abc
 
@@ -18,6 +18,6 @@
 
 
 def named_by(values: collections.abc.Iterable[str]) -> set[str]:
-    """Return the headers that values of ``Connection`` name, in lowercase."""
+    """Return the lowercase header names in values of ``Connection``."""
     tokens = ','.join(values).lower().split(',')
     return {token.strip() for token in tokens}
--- a/berylhollow/util/startup.py
+++ b/berylhollow/util/startup.py
@@ -1,53 +1,52 @@
-"""What makes a process ready sooner."""
+"""Shorten the startup of a process."""
 
 import collections.abc
 import gc
 import os
 
-FIRST_COLLECTION = 50_000
-"""Objects made before the first garbage collection of a process."""
+GC_THRESHOLD_AT_IMPORT = 50_000
+"""Objects allocated before the first garbage collection of a process."""
 
+NO_TLS_OPTION = '--on-platform'
+"""With this option all connections are unencrypted, to an IP address and port
+of the platform. A settings file may name an address that needs TLS."""
 
-PLAIN_OPTION = '--on-platform'
-"""With it every address is an IP and a port of the platform, spoken to in the
-clear; settings of our own may name one that is not."""
-
-TRUST_VARIABLES = ('SSL_CERT_FILE', 'SSL_CERT_DIR')
-"""Where an operator says whom to trust."""
+CERTIFICATE_VARIABLES = ('SSL_CERT_FILE', 'SSL_CERT_DIR')
+"""Variables with which an operator selects the trusted certificates."""
 
 
 def hasten(arguments: collections.abc.Sequence[str]) -> None:
-    """Prepare for the imports that make up most of a process's start.
+    """Speed up the imports, which take most of the startup of a process.
 
     Must run before any of them, with the command line as ``arguments``. A
-    gateway takes 0.5 s of processor to its first answer with all of this,
-    0.7 s without.
+    gateway needs 0.5 s of CPU time until its first response with these
+    measures and 0.7 s without.
     """
-    if PLAIN_OPTION in arguments:
+    if NO_TLS_OPTION in arguments:
         skip_certificates(os.environ)
-    collect_seldom()
+    raise_gc_threshold()
 
 
-def collect_seldom() -> None:
-    """Let imports go on without garbage collections.
+def raise_gc_threshold() -> None:
+    """Raise the garbage collection threshold for the imports.
 
-    They make objects that all stay, and each collection looks at them
-    again: an eighth of the time of the imports.
+    All objects that they create stay alive, and each collection would
+    traverse them again, which took an eighth of the time of the imports.
     """
-    gc.set_threshold(FIRST_COLLECTION)
+    gc.set_threshold(GC_THRESHOLD_AT_IMPORT)
 
 
 def skip_certificates(
     environment: collections.abc.MutableMapping[str, str],
 ) -> None:
-    """Let the HTTP library read no certificates when it is imported.
+    """Keep the HTTP library from reading certificates when it is imported.
 
-    It prepares for TLS at its import, and reads every certificate that the
-    system trusts: 0.1 s of the 0.7 s of processor that a gateway needs from
-    its start to its first answer. Only for a process that speaks to nobody
-    over TLS, which would trust nobody then; and what an operator has set
-    stays. Must run before that import.
+    At import it prepares for TLS and reads every certificate that the system
+    trusts: 0.1 s of the 0.7 s of CPU time that a gateway needs from its start
+    to its first response. Only for a process without TLS connections, since
+    none could be verified then. Variables set by an operator are kept. Must
+    run before that import.
     """
-    if any(name in environment for name in TRUST_VARIABLES):
+    if any(name in environment for name in CERTIFICATE_VARIABLES):
         return
     environment['SSL_CERT_FILE'] = os.devnull
--- a/test/test_startup.py
+++ b/test/test_startup.py
@@ -1,4 +1,4 @@
-"""What a process leaves out to start sooner, and when it must not."""
+"""Tests of skipping the certificates at startup, and when not to."""
 
 import gc
 import os
@@ -7,32 +7,35 @@
 
 from berylhollow.util import startup
 
-HOSTED = ('gateway', '--on-platform')
+ARGUMENTS_WITHOUT_TLS = ('gateway', '--on-platform')
 
 
 class CertificatesTest(unittest.TestCase):
-    def after(self, arguments, **environment):
-        """Return what a process finds in its environment once hastened."""
+    def environment_after(self, arguments, **environment):
+        """Return the environment of a process after ``hasten``."""
         self.addCleanup(gc.set_threshold, *gc.get_threshold())
         with mock.patch.dict(os.environ, environment, clear=True):
             startup.hasten(arguments)
             return dict(os.environ)
 
-    def test_process_that_speaks_in_the_clear_reads_none(self):
-        found = self.after(HOSTED)
+    def test_process_without_tls_reads_no_certificates(self):
+        found = self.environment_after(ARGUMENTS_WITHOUT_TLS)
         self.assertEqual({'SSL_CERT_FILE': os.devnull}, found)
 
-    def test_what_an_operator_trusts_is_kept(self):
-        """An operator names a file of certificates for the process.
+    def test_certificate_variables_of_an_operator_are_kept(self):
+        """Guards against replacing an operator's certificate file.
 
-        It was replaced by an empty one, and every connection over TLS would
-        have been refused with nothing in the log to say why.
+        With an empty file in its place every TLS connection would fail to
+        verify, and no log line would give the reason.
         """
-        for name in startup.TRUST_VARIABLES:
+        for name in startup.CERTIFICATE_VARIABLES:
             with self.subTest(name=name):
                 expected = {name: '/etc/trusted'}
-                self.assertEqual(expected, self.after(HOSTED, **expected))
+                self.assertEqual(
+                    expected,
+                    self.environment_after(ARGUMENTS_WITHOUT_TLS, **expected),
+                )
 
-    def test_settings_of_our_own_may_name_an_address_over_tls(self):
+    def test_settings_file_may_name_an_address_that_needs_tls(self):
         arguments = ('gateway', '--settings', 'gateway.jsonc')
-        self.assertEqual({}, self.after(arguments))
+        self.assertEqual({}, self.environment_after(arguments))
--- a/test/util/__init__.py
+++ b/test/util/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the helpers."""
+"""Tests of ``berylhollow.util``."""
--- a/test/util/test_loop.py
+++ b/test/util/test_loop.py
@@ -1,4 +1,4 @@
-"""Tests of running services: signals, graceful stop, descriptors."""
+"""Tests of running services: signals, graceful stop, file descriptors."""
 
 import json
 import os
@@ -7,8 +7,9 @@
 import sys
 import unittest
 
-# A process with one service: it prints READY, and its stop waits until a line
-# comes on standard input, then prints the descriptors and children it has.
+# A process with one service, which prints READY when started. Its stop waits
+# for a line on standard input, then prints the file descriptors, the child
+# processes and the number of frozen objects of the process.
 PROGRAM = """
 import asyncio, gc, json, os, pathlib, sys
 import aiomisc
@@ -88,19 +89,19 @@
         self.assertEqual(facts['children'], [])
         self.assertEqual(process.wait(), 0)
 
-    def test_what_a_process_starts_with_is_not_collected_again(self):
-        # Every stream stops for a tenth of a second now and then: a full
-        # collection walks the objects of all libraries.
+    def test_startup_objects_are_excluded_from_garbage_collection(self):
+        # Guards against streams that stall for a tenth of a second during a
+        # full collection, which traverses the objects of all libraries.
         process = self.start(LONG_MS)
         process.send_signal(signal.SIGTERM)
         self.expect(process, 'STOPPING')
         self.assertGreater(self.finish(process)['frozen'], 0)
         self.assertEqual(process.wait(), 0)
 
-    def test_second_sigterm_does_not_cut_off_the_stop(self):
-        # A user's long answer breaks off during a planned stop: the platform
-        # sends SIGTERM, the process drains, the platform sends it again, and
-        # the default handler, put back after the first, ends the process.
+    def test_second_sigterm_does_not_abort_the_stop(self):
+        # Guards against a long response that is cut off during a planned
+        # stop: if the first SIGTERM restored the default handler, a second
+        # one from the platform would end the process while it drains.
         process = self.start(LONG_MS)
         process.send_signal(signal.SIGTERM)
         self.expect(process, 'STOPPING')
@@ -108,12 +109,12 @@
         self.finish(process)
         self.assertEqual(process.wait(), 0)
 
-    def test_stop_beyond_its_grace_is_cut_off(self):
+    def test_stop_beyond_its_grace_period_is_aborted(self):
         process = self.start('1')
         process.send_signal(signal.SIGTERM)
         self.assertEqual(process.wait(), 70)
 
-    def test_second_interrupt_is_cut_off(self):
+    def test_second_interrupt_aborts_the_stop(self):
         process = self.start(LONG_MS)
         process.send_signal(signal.SIGINT)
         self.expect(process, 'STOPPING')
