--- a/berylhollow/platform/__init__.py
+++ b/berylhollow/platform/__init__.py
@@ -1,10 +1,14 @@
-"""The users' platform: its names, formats and calls, decoded once here.
+"""Adapter to the users' platform: its names, formats and calls.
 
-Nothing here decides. What the platform calls a machine, a zone, a back end
-or a runner leaves this folder as an instance, a failure domain, an endpoint.
+This package only encodes and decodes. It translates the platform's terms for
+machines, zones, back ends and runners into the terms of the other packages:
+instance, failure domain and endpoint.
 """
 
 from berylhollow.platform._caller import CallerDialect
+from berylhollow.platform._endpoint_calls import Answer
+from berylhollow.platform._endpoint_calls import EndpointCalls
+from berylhollow.platform._endpoint_calls import NotRun
 from berylhollow.platform._node import load
 from berylhollow.platform._node import Node
 from berylhollow.platform._node import node_file
@@ -16,9 +20,6 @@
 from berylhollow.platform._records import decode_instance
 from berylhollow.platform._records import decode_news
 from berylhollow.platform._records import INSTANCE_STREAM
-from berylhollow.platform._runs import Answer
-from berylhollow.platform._runs import EndpointCalls
-from berylhollow.platform._runs import NotRun
 from berylhollow.platform._store import StoreClient
 
 READINESS_PATH = '/v1/ready'
--- a/berylhollow/platform/_caller.py
+++ b/berylhollow/platform/_caller.py
@@ -1,4 +1,4 @@
-"""Callers' requests and answers in the platform's own form."""
+"""Decode callers' requests and encode responses in the platform's format."""
 
 import dataclasses
 import hashlib
@@ -9,45 +9,47 @@
 from berylhollow import errors
 from berylhollow import events
 from berylhollow import messages
-from berylhollow.platform import _runs
+from berylhollow.platform import _endpoint_calls
 from berylhollow.util import hop_by_hop
 from berylhollow import workspaces
 
-MODEL = 'Model'
-TOKENS = 'Token-Count'
-KEY = 'Api-Key'
+MODEL_HEADER = 'Model'
+TOKEN_COUNT_HEADER = 'Token-Count'
+API_KEY_HEADER = 'Api-Key'
 DIGEST_BYTES = 16
 MS_PER_SECOND = 1000
-LONGEST_DEADLINE_MS = 24 * 60 * 60 * 1000
+MAX_DEADLINE_MS = 24 * 60 * 60 * 1000
 
-NOT_PASSED_ON = hop_by_hop.HEADERS | {
+NOT_FORWARDED_TO_ENDPOINT = hop_by_hop.HEADERS | {
     'content-length',
     'host',
-    KEY.lower(),
-    _runs.WORKSPACE.lower(),
+    API_KEY_HEADER.lower(),
+    _endpoint_calls.WORKSPACE_HEADER.lower(),
 }
-NOT_RELAYED = hop_by_hop.HEADERS | {'host'}
+NOT_RELAYED_TO_CALLER = hop_by_hop.HEADERS | {'host'}
 
-PROMISES = frozenset({408, 421, 429, 503})
-"""Statuses that tell callers that the request has not run and never will."""
+NEVER_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses by which callers know that a request has not run and never will."""
 
-NO_PROMISE = 502
+MAY_HAVE_RUN_STATUS = 502
 
 
 class CallerDialect:
-    """Decode callers' requests and write answers of our own."""
+    """Decodes callers' requests and builds the gateway's own responses."""
 
     error_events = False
 
     def echoed_id(self, headers) -> str | None:
-        """Return the caller's own id of its request."""
-        return headers.get(_runs.REQUEST_ID)
+        """Return the request id that the caller sent, if any."""
+        return headers.get(_endpoint_calls.REQUEST_ID_HEADER)
 
     def accept(
         self, request: web.BaseRequest, default_deadline_ms: int
     ) -> 'CallerDraft':
-        """Take the head of a request; every path is a caller's."""
-        return CallerDraft(request, default_deadline_ms, _head(request))
+        """Decode the head of a request; callers may use every path."""
+        return CallerDraft(
+            request, default_deadline_ms, _request_head(request)
+        )
 
     def error_response(
         self,
@@ -57,45 +59,46 @@
         retry_after_ms: int = 0,
         detail: str = '',
     ) -> web.Response:
-        """Return the whole answer for an error.
+        """Return the complete response for an error.
 
-        Of a request that may have run no status is given that callers take
-        for a promise that it has not.
+        A request that may have run never gets a status of
+        ``NEVER_RUN_STATUSES``, which callers take as a promise that it has
+        not run.
         """
-        answer = errors.ANSWERS[kind]
-        status = answer.status
-        if status in PROMISES and ran is not errors.Ran.NOT_RUN:
-            status = NO_PROMISE
+        error_answer = errors.ANSWERS[kind]
+        status = error_answer.status
+        if status in NEVER_RUN_STATUSES and ran is not errors.Ran.NOT_RUN:
+            status = MAY_HAVE_RUN_STATUS
         if kind is errors.Kind.QUARANTINED or (
             ran is errors.Ran.NOT_RUN and status >= 500
         ):
             status = 503
         headers = {'Content-Type': 'application/json'}
         if request_id:
-            headers[_runs.REQUEST_ID] = request_id
+            headers[_endpoint_calls.REQUEST_ID_HEADER] = request_id
         if retry_after_ms > 0:
             seconds = retry_after_ms / MS_PER_SECOND
             headers['Retry-After'] = f'{seconds:.3f}'.rstrip('0').rstrip('.')
-        members = {
+        document = {
             'kind': kind.value,
             'ran': ran.value,
-            'title': answer.title,
-            'detail': detail or answer.title,
+            'title': error_answer.title,
+            'detail': detail or error_answer.title,
         }
         return web.Response(
-            status=status, headers=headers, body=json.dumps(members).encode()
+            status=status, headers=headers, body=json.dumps(document).encode()
         )
 
     def relayed_headers(
         self, headers: tuple[messages.Header, ...], _request_id: str
     ) -> list[tuple[str, str]]:
-        """Return the headers of an endpoint's answer for its caller."""
+        """Return the headers of a response to relay to the caller."""
         named = hop_by_hop.named_by(
             header.value
             for header in headers
             if header.name.lower() == 'connection'
         )
-        dropped = NOT_RELAYED | named
+        dropped = NOT_RELAYED_TO_CALLER | named
         return [
             (header.name, header.value)
             for header in headers
@@ -105,22 +108,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerDraft:
-    """A caller's request whose body is still to come."""
+    """A caller's request whose body has not been read yet."""
 
     request: web.BaseRequest
     default_deadline_ms: int
     head: events.RequestHead
 
     def build(self, request_id: str, body: bytes) -> events.Request:
-        """Return the request as the reducer takes it."""
+        """Return the request as an event for the reducer."""
         request = self.request
         headers = request.headers
-        prompt_tokens, output_tokens = _tokens(headers.get(TOKENS, ''))
+        prompt_tokens, output_tokens = _token_counts(
+            headers.get(TOKEN_COUNT_HEADER, '')
+        )
         return events.Request(
             request_id=request_id,
             caller='',
             service='',
-            adapter=_adapter(headers.get(MODEL, '')),
+            adapter=_adapter(headers.get(MODEL_HEADER, '')),
             key=None,
             priority=0,
             deadline_ms=_deadline_ms(headers, self.default_deadline_ms),
@@ -136,20 +141,23 @@
         )
 
 
-def _head(request: web.BaseRequest) -> events.RequestHead:
+def _request_head(request: web.BaseRequest) -> events.RequestHead:
     headers = request.headers
     return events.RequestHead(
         headers.get('Host', ''),
         request.raw_path,
-        workspaces.credential(headers.getall(KEY, ())),
-        sum(_tokens(headers.get(TOKENS, ''))),
+        workspaces.credential(headers.getall(API_KEY_HEADER, ())),
+        sum(_token_counts(headers.get(TOKEN_COUNT_HEADER, ''))),
     )
 
 
 def passed_headers(headers) -> tuple[messages.Header, ...]:
-    """Return the headers that concern more than the caller's connection."""
+    """Return the headers of a request to pass to an endpoint.
+
+    Leaves out hop-by-hop headers, the caller's key and the workspace header.
+    """
     named = hop_by_hop.named_by(headers.getall('Connection', ()))
-    dropped = NOT_PASSED_ON | named
+    dropped = NOT_FORWARDED_TO_ENDPOINT | named
     return tuple(
         messages.Header(name, value)
         for name, value in headers.items()
@@ -158,33 +166,36 @@
 
 
 def _adapter(model: str) -> messages.AdapterVersion | None:
-    """Return the adapter that is named after the model, if one is.
+    """Return the adapter if the header names MODEL/ADAPTER, else None.
 
-    Its version is empty: callers always mean the newest.
+    The version is empty: callers always mean the newest.
     """
     if '/' not in model:
         return None
     return messages.AdapterVersion(model, '')
 
 
-def _tokens(text: str) -> tuple[int, int]:
-    """Return the size of the prompt and the most that may be generated."""
-    first, _, second = text.partition(',')
-    if not first.strip().isdigit() or not second.strip().isdigit():
+def _token_counts(text: str) -> tuple[int, int]:
+    """Return the prompt tokens and the maximum of output tokens.
+
+    Both are 0 if the header is missing or invalid.
+    """
+    prompt, _, output = text.partition(',')
+    if not prompt.strip().isdigit() or not output.strip().isdigit():
         return 0, 0
-    return int(first), int(second)
+    return int(prompt), int(output)
 
 
 def _deadline_ms(headers, default_ms: int) -> int:
-    """Return how long the caller waits, by its own word."""
-    text = headers.get(_runs.DEADLINE, '').strip()
+    """Return the deadline from the caller's header, or the default."""
+    text = headers.get(_endpoint_calls.DEADLINE_HEADER, '').strip()
     if not text.isdigit():
         return default_ms
-    return max(1, min(int(text), LONGEST_DEADLINE_MS))
+    return max(1, min(int(text), MAX_DEADLINE_MS))
 
 
 def _fingerprint(request: web.BaseRequest, body: bytes) -> str:
-    """Return the digest that tells whether two requests are the same."""
+    """Return a digest that is equal for identical requests."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (request.method, request.raw_path, request.host):
         data = part.encode(errors='surrogateescape')
--- /dev/null
+++ b/berylhollow/platform/_endpoint_calls.py
@@ -0,0 +1,219 @@
+"""Send requests to endpoints and decode the heads of their responses."""
+
+import collections.abc
+import dataclasses
+import enum
+
+import aiohttp
+import multidict
+import yarl
+
+from berylhollow import events
+from berylhollow import messages
+from berylhollow import outgoing
+from berylhollow.platform import _notices
+
+REQUEST_ID_HEADER = 'Request-Id'
+DEADLINE_HEADER = 'Deadline-Ms'
+EXPECTED_INSTANCE_HEADER = 'Expect-Instance'
+EXPECTED_VERSION_HEADER = 'Expect-Version'
+PRIORITY_HEADER = 'Request-Priority'
+NOT_EXECUTED_HEADER = 'Not-Executed'
+INSTANCE_HEADER = 'Instance-Id'
+SIGNATURE_HEADER = 'Server-Seal'
+WORKSPACE_HEADER = 'Tenant'
+
+LEAST_URGENT_PRIORITY = 9
+MOST_URGENT_PRIORITY = 4
+"""Sent for requests whose priority here is 0, the most urgent.
+
+Endpoints assume 5 for requests without the header, so the most urgent
+requests go ahead of those from other senders."""
+
+MISDIRECTED_STATUS = 421
+UNAVAILABLE_STATUS = 503
+TOO_MANY_REQUESTS_STATUS = 429
+
+# Callers must not set these: their values could reserve memory, move another
+# request's state or choose the endpoint.
+RESERVED_HEADERS = frozenset(
+    {
+        'deadline-ms',
+        'expect',
+        'expect-instance',
+        'expect-version',
+        'hold',
+        'kv-backup',
+        'kv-fetch',
+        'kv-from',
+        'pin-ms',
+        'request-priority',
+    }
+)
+SKIPPED_DEFAULT_HEADERS = (
+    'Accept',
+    'Accept-Encoding',
+    'User-Agent',
+    'Content-Type',
+)
+
+
+class NotRun(enum.Enum):
+    """Reason that an endpoint gives for not running a request."""
+
+    FULL = 'full'
+    ANOTHER_INSTANCE = 'another_instance'
+    ADAPTER_ABSENT = 'adapter_absent'
+    REFUSED = 'refused'
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Answer:
+    """The head of an endpoint's response.
+
+    ``not_run`` is set only if the response states that the request has not
+    run. ``own`` is true if the response carries the id of this request.
+    ``signed`` is true if it carries the endpoint's signature; a successful
+    status without one does not count as success. ``notice`` is the endpoint's
+    status notice about itself, independent of the request; None if it
+    is not known to come from the endpoint.
+    """
+
+    status: int
+    headers: tuple[messages.Header, ...]
+    not_run: NotRun | None
+    own: bool
+    signed: bool
+    notice: events.EndpointNotice | None
+    response: outgoing.Response
+
+    async def parts(self) -> collections.abc.AsyncIterator[bytes]:
+        """Yield the body in parts as they arrive.
+
+        Raises ``outgoing.MaybeDone`` if the body ends early.
+        """
+        content = self.response.content
+        try:
+            while True:
+                part = await content.readany()
+                if not part:
+                    break
+                yield part
+        except (aiohttp.ClientError, OSError) as error:
+            raise outgoing.MaybeDone(
+                str(error) or type(error).__name__
+            ) from error
+        response = self.response
+        if response.ends_with_connection and response.was_reset:
+            raise outgoing.MaybeDone(
+                'connection reset before the end of the body'
+            )
+
+    def close(self) -> None:
+        """Close the connection, which cancels the request on it."""
+        self.response.close()
+
+
+class EndpointCalls:
+    """Client that sends requests directly to endpoints."""
+
+    def __init__(self, session: aiohttp.ClientSession):
+        self.session = session
+
+    async def send(
+        self, offer: messages.Offer, address: str, instance: str
+    ) -> Answer:
+        """Send one attempt and return the head of its response.
+
+        Raises ``outgoing.NotDone`` if nothing was sent, and
+        ``outgoing.MaybeDone`` on any later failure.
+        """
+        headers = _request_headers(offer, instance)
+        url = yarl.URL(f'http://{address}{offer.path}', encoded=True)
+        response = await outgoing.open_call(
+            self.session,
+            offer.method,
+            url,
+            headers=headers,
+            data=offer.body or None,
+            skip_auto_headers=SKIPPED_DEFAULT_HEADERS,
+        )
+        return _decode_head(response, headers.get(REQUEST_ID_HEADER), instance)
+
+    async def close(self) -> None:
+        """Close all connections."""
+        await self.session.close()
+
+
+def _request_headers(
+    offer: messages.Offer, instance: str
+) -> multidict.CIMultiDict[str]:
+    headers: multidict.CIMultiDict[str] = multidict.CIMultiDict()
+    headers['Host'] = offer.host
+    for header in offer.headers:
+        if header.name.lower() not in RESERVED_HEADERS:
+            headers.add(header.name, header.value)
+    if offer.caller:
+        headers[WORKSPACE_HEADER] = offer.caller
+    headers[DEADLINE_HEADER] = str(max(1, offer.remaining_ms))
+    headers[EXPECTED_INSTANCE_HEADER] = instance
+    priority = min(
+        LEAST_URGENT_PRIORITY, MOST_URGENT_PRIORITY + offer.priority
+    )
+    headers[PRIORITY_HEADER] = str(priority)
+    if offer.adapter is not None:
+        headers[EXPECTED_VERSION_HEADER] = offer.adapter.version
+    return headers
+
+
+def _decode_head(
+    response: aiohttp.ClientResponse, request_id: str | None, instance: str
+) -> Answer:
+    headers = tuple(
+        messages.Header(name, value)
+        for name, value in response.headers.items()
+    )
+    own = response.headers.get(REQUEST_ID_HEADER) == request_id
+    signed = SIGNATURE_HEADER in response.headers
+    not_run = _not_run_reason(response, instance)
+    proven = own and (signed or not_run is not None)
+    return Answer(
+        status=response.status,
+        headers=headers,
+        not_run=not_run,
+        own=own,
+        signed=signed,
+        notice=_decode_notice(response, not_run, proven),
+        response=response,
+    )
+
+
+def _decode_notice(
+    response: aiohttp.ClientResponse, not_run: NotRun | None, proven: bool
+) -> events.EndpointNotice | None:
+    """Return the endpoint's notice about itself, None if there is no proof.
+
+    A notice counts even in a response that is corrupted or may belong to
+    another request. The absence of one counts only if ``proven``.
+    """
+    if not_run is NotRun.ANOTHER_INSTANCE:
+        return None
+    notice = _notices.decode(response.status, response.headers)
+    if notice.empty and not proven:
+        return None
+    return notice
+
+
+def _not_run_reason(
+    response: aiohttp.ClientResponse, instance: str
+) -> NotRun | None:
+    if response.status == MISDIRECTED_STATUS:
+        other = response.headers.get(INSTANCE_HEADER, instance)
+        if other != instance:
+            return NotRun.ANOTHER_INSTANCE
+        return NotRun.ADAPTER_ABSENT
+    if NOT_EXECUTED_HEADER not in response.headers:
+        return None
+    if response.status in (UNAVAILABLE_STATUS, TOO_MANY_REQUESTS_STATUS):
+        return NotRun.FULL
+    return NotRun.REFUSED
--- a/berylhollow/platform/_fields.py
+++ b/berylhollow/platform/_fields.py
@@ -1,10 +1,10 @@
 """Fields of the platform's JSON documents, checked for type and range.
 
-The store's streams take records from any writer. Guards against one that is
-nearly right: a number as text, a truth for a number, a list for a name. Taken
-over by conversion it would name an endpoint that does not exist, or stop the
-reader with an error that nobody expects. Everything here either returns a
-value of the type that it names or raises ``MalformedRecordError``.
+Any writer can append records to the store's streams, so a record may be
+almost valid: a number as a string, a boolean for a number, an array for a
+name. Converting such values could yield an endpoint that does not exist or an
+unexpected exception that stops the reader. Each function here returns a value
+of the documented type or raises ``MalformedRecordError``.
 """
 
 import ipaddress
@@ -13,51 +13,51 @@
 
 from berylhollow import routes
 
-Kind = typing.TypeVar('Kind')
+Value = typing.TypeVar('Value')
 
-LARGEST = 2**53
-"""Whole numbers beyond this are not the same in every reader of JSON."""
+MAX_INTEGER = 2**53
+"""JSON parsers may disagree about integers beyond this."""
 
-LONGEST_NAME = 512
-"""Characters of a name; the platform's keys have 255 bytes at most."""
+MAX_NAME_LENGTH = 512
+"""In characters; the platform's keys have at most 255 bytes."""
 
-LAST_PORT = 65535
+MAX_PORT = 65535
 
 
-def document(data: bytes) -> dict:
-    """Return the JSON object that a record holds."""
+def parse_object(data: bytes) -> dict:
+    """Parse the value of a record, which must be a JSON object."""
     try:
         value = json.loads(data)
     except (ValueError, RecursionError) as error:
         raise routes.MalformedRecordError(
-            f'no JSON: {type(error).__name__}'
+            f'invalid JSON: {type(error).__name__}'
         ) from error
     if not isinstance(value, dict):
-        raise routes.MalformedRecordError('the document is no object')
+        raise routes.MalformedRecordError('the document is not an object')
     return value
 
 
-def text(entry: dict, field: str, default: str | None = None) -> str:
-    """Return a name; one without a default must be there and not empty."""
+def string(entry: dict, field: str, default: str | None = None) -> str:
+    """Return a string; without a default it is required and not empty."""
     value = entry.get(field)
     if value is None and default is not None:
         return default
-    if not isinstance(value, str) or len(value) > LONGEST_NAME:
-        raise _wrong(field, 'a text', value)
+    if not isinstance(value, str) or len(value) > MAX_NAME_LENGTH:
+        raise _type_error(field, 'a string', value)
     if not value and default is None:
-        raise _wrong(field, 'a text', value)
+        raise _type_error(field, 'a string', value)
     return value
 
 
-def whole(
-    entry: dict, field: str, default: int | None = None, least: int = 0
+def integer(
+    entry: dict, field: str, default: int | None = None, minimum: int = 0
 ) -> int:
-    """Return a whole number of at least ``least``."""
+    """Return an integer of at least ``minimum``."""
     value = entry.get(field)
     if value is None and default is not None:
         return default
-    if type(value) is not int or not least <= value <= LARGEST:
-        raise _wrong(field, 'a whole number', value)
+    if type(value) is not int or not minimum <= value <= MAX_INTEGER:
+        raise _type_error(field, 'an integer', value)
     return value
 
 
@@ -66,8 +66,8 @@
     value = entry.get(field)
     if value is None and default is not None:
         return default
-    if type(value) not in (int, float) or not 0 <= value <= LARGEST:
-        raise _wrong(field, 'a number', value)
+    if type(value) not in (int, float) or not 0 <= value <= MAX_INTEGER:
+        raise _type_error(field, 'a number', value)
     return float(value)
 
 
@@ -78,65 +78,67 @@
     return int(number(entry, field))
 
 
-def truth(entry: dict, field: str) -> bool:
-    """Return a truth value, false if it is not there."""
-    return _optional(entry, field, bool, 'a truth value')
+def boolean(entry: dict, field: str) -> bool:
+    """Return a boolean, false if the field is missing."""
+    return _optional(entry, field, bool, 'a boolean')
 
 
-def items(entry: dict, field: str) -> list:
-    """Return a list, empty if it is not there."""
-    return _optional(entry, field, list, 'a list')
+def array(entry: dict, field: str) -> list:
+    """Return an array, empty if the field is missing."""
+    return _optional(entry, field, list, 'an array')
 
 
-def inner(entry: dict, field: str) -> dict:
-    """Return an object, empty if it is not there."""
+def nested_object(entry: dict, field: str) -> dict:
+    """Return a nested object, empty if the field is missing."""
     return _optional(entry, field, dict, 'an object')
 
 
 def objects(entry: dict, field: str) -> list[dict]:
-    """Return a list of objects, empty if it is not there."""
-    values = items(entry, field)
+    """Return an array of objects, empty if the field is missing."""
+    values = array(entry, field)
     if not all(isinstance(value, dict) for value in values):
-        raise _wrong(field, 'a list of objects', values)
+        raise _type_error(field, 'an array of objects', values)
     return values
 
 
-def texts(entry: dict, field: str) -> list[str]:
-    """Return a list of names, empty if it is not there."""
-    values = items(entry, field)
+def strings(entry: dict, field: str) -> list[str]:
+    """Return an array of strings, empty if the field is missing."""
+    values = array(entry, field)
     if not all(isinstance(value, str) and value for value in values):
-        raise _wrong(field, 'a list of texts', values)
+        raise _type_error(field, 'an array of strings', values)
     return values
 
 
 def address(entry: dict, field: str) -> str:
-    """Return an IP number and a port, as ``1.2.3.4:80``."""
-    value = text(entry, field)
+    """Return an IPv4 address with a port, as ``1.2.3.4:80``."""
+    value = string(entry, field)
     host, _, port = value.rpartition(':')
     try:
         ipaddress.IPv4Address(host)
     except ValueError as error:
-        raise _wrong(field, 'an address', value) from error
+        raise _type_error(
+            field, 'an IPv4 address with a port', value
+        ) from error
     if not (port.isascii() and port.isdecimal()):
-        raise _wrong(field, 'an address', value)
-    if not 1 <= int(port[:6]) <= LAST_PORT:
-        raise _wrong(field, 'an address', value)
+        raise _type_error(field, 'an IPv4 address with a port', value)
+    if not 1 <= int(port[:6]) <= MAX_PORT:
+        raise _type_error(field, 'an IPv4 address with a port', value)
     return value
 
 
 def _optional(
-    entry: dict, field: str, kind: type[Kind], expected: str
-) -> Kind:
-    """Return a value of one type, that type's empty one if it is not there."""
+    entry: dict, field: str, kind: type[Value], expected: str
+) -> Value:
+    """Return a value of a type, or its empty value if the field is missing."""
     value = entry.get(field)
     if value is None:
         return kind()
     if not isinstance(value, kind):
-        raise _wrong(field, expected, value)
+        raise _type_error(field, expected, value)
     return value
 
 
-def _wrong(
+def _type_error(
     field: str, expected: str, value: object
 ) -> routes.MalformedRecordError:
     found = type(value).__name__
--- a/berylhollow/platform/_order.py
+++ b/berylhollow/platform/_order.py
@@ -1,4 +1,4 @@
-"""Orders to the endpoint on the own instance, and its report."""
+"""Send load and unload orders to the local endpoint and read its report."""
 
 import dataclasses
 import enum
@@ -9,34 +9,34 @@
 from berylhollow import events
 from berylhollow import messages
 from berylhollow import outgoing
+from berylhollow.platform import _endpoint_calls
 from berylhollow.platform import _fields
 from berylhollow.platform import _records
-from berylhollow.platform import _runs
 from berylhollow import routes
 
 CALL_TIMEOUT_MS = 200
-"""The endpoint is on the same instance and answers in some milliseconds.
+"""The endpoint is on the same instance and answers within milliseconds.
 
-An order without an answer holds up all that follow it. Giving it up early is
-safe: should it be carried out later, it is refused if any other was."""
+An unanswered order blocks all later ones. Giving up on it early is safe: if
+it arrives after another order was accepted, the endpoint refuses it."""
 
-FENCE = 1
-"""The fencing number of every order.
+FENCING_TOKEN = 1
+"""The fencing token of every order.
 
-Only the process beside an endpoint orders it, and a restart of the endpoint
-clears what it has seen, so the number never needs to rise; orders that come
-late are told apart by the expected sequence number.
+Only one process, on the same instance, sends orders to an endpoint, and the
+endpoint forgets tokens when it restarts, so the token never needs to
+increase. Late orders are rejected by the expected sequence number.
 """
 
 
 class Action(enum.Enum):
-    """What an order asks for."""
+    """The operation that an order requests."""
 
     LOAD = 'load'
     UNLOAD = 'unload'
 
 
-VERDICTS = {
+VERDICT_BY_STATUS = {
     200: events.OrderVerdict.HELD_ALREADY,
     202: events.OrderVerdict.ACCEPTED,
     409: events.OrderVerdict.CONFLICT,
@@ -46,13 +46,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointState:
-    """What the endpoint reports of itself, at this moment.
+    """The current state that an endpoint reports.
 
-    ``orders`` counts the orders that it has accepted since its start,
-    ``started_ms`` is when that was (0 if it does not say).
-    ``loading`` are adapters on their way, which take places already.
-    ``busy`` tells that an order about a model is under way. ``at_hand`` are
-    the models of which it has copies, and needs nothing from the weight store.
+    ``orders`` counts the orders accepted since the endpoint started, at
+    ``started_ms`` (0 if unknown). ``held`` are the loaded adapters,
+    ``loading`` those being loaded, which already occupy slots. ``busy`` is
+    true while an order for a model is in progress. ``at_hand`` are the models
+    with a local copy, which load without the weight store.
     """
 
     orders: int
@@ -68,9 +68,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """Load or unload, if ``orders`` were accepted before.
+    """An order to load or unload a model or an adapter.
 
-    ``name`` is that of a model, or of an adapter as requests name it.
+    The endpoint accepts it only if its count of accepted orders is
+    ``orders``. ``name`` is a model's name, or an adapter's name as in
+    requests.
     """
 
     load: bool
@@ -81,7 +83,7 @@
 
 
 class EndpointControl:
-    """Calls to the endpoint at an address, from its own instance."""
+    """Control client for the endpoint on the same instance."""
 
     def __init__(
         self, address: str, session: aiohttp.ClientSession | None = None
@@ -90,17 +92,20 @@
         self.session = session or outgoing.open_session()
 
     async def state(self) -> EndpointState:
-        """Return the endpoint's report. Raises ``outgoing.CallError``."""
+        """Fetch the endpoint's report. Raises ``outgoing.CallError``."""
         reply = await outgoing.call(
             self.session, 'GET', f'{self.url}/report', CALL_TIMEOUT_MS
         )
         try:
-            return _state(reply.value())
+            return _parse_state(reply.value())
         except routes.MalformedRecordError as error:
             raise outgoing.MaybeDone(str(error)) from error
 
     async def order(self, order: Order) -> events.OrderVerdict:
-        """Send an order. Raises ``NotDone`` or ``MaybeDone``."""
+        """Send an order and return the verdict.
+
+        Raises ``outgoing.NotDone`` or ``outgoing.MaybeDone``.
+        """
         model, _, adapter = order.name.partition(routes.ADAPTER_SEPARATOR)
         action = Action.LOAD if order.load else Action.UNLOAD
         body = {
@@ -108,7 +113,7 @@
             'Model': model,
             'Precondition': order.orders,
             'Holder': order.holder,
-            'FenceToken': FENCE,
+            'FenceToken': FENCING_TOKEN,
         }
         if adapter:
             body['Adapter'] = adapter
@@ -120,34 +125,36 @@
             data=json.dumps(body).encode(),
             headers={
                 'Content-Type': 'application/json',
-                _runs.EXPECTED_INSTANCE: order.instance,
+                _endpoint_calls.EXPECTED_INSTANCE_HEADER: order.instance,
             },
         )
         async with response:
             await outgoing.read_body(response)
-        return VERDICTS.get(response.status, events.OrderVerdict.REFUSED)
+        return VERDICT_BY_STATUS.get(
+            response.status, events.OrderVerdict.REFUSED
+        )
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         await self.session.close()
 
 
-def _state(value: dict) -> EndpointState:
+def _parse_state(value: dict) -> EndpointState:
     models = _fields.objects(value, 'Models')
-    pending = _fields.texts(value, 'Pending')
+    pending = _fields.strings(value, 'Pending')
     return EndpointState(
-        orders=_fields.whole(value, 'Seq', 0),
-        models=_records.held_models(models),
-        busy=_fields.truth(value, 'Busy'),
-        held=_records.held_adapters(models),
-        loading=tuple(map(_records.listed_adapter, pending)),
-        waiting=_fields.whole(value, 'Queued', 0),
-        running=_fields.whole(value, 'Active', 0),
+        orders=_fields.integer(value, 'Seq', 0),
+        models=_records.loaded_models(models),
+        busy=_fields.boolean(value, 'Busy'),
+        held=_records.loaded_adapters(models),
+        loading=tuple(map(_records.parse_adapter, pending)),
+        waiting=_fields.integer(value, 'Queued', 0),
+        running=_fields.integer(value, 'Active', 0),
         started_ms=_records.started_ms(value),
-        at_hand=_at_hand(_fields.inner(value, 'AtHand')),
+        at_hand=_locally_stored_models(_fields.nested_object(value, 'AtHand')),
     )
 
 
-def _at_hand(copies: dict) -> tuple[str, ...]:
-    in_memory = _fields.texts(copies, 'InMemory')
-    return (*in_memory, *_fields.texts(copies, 'OnDisk'))
+def _locally_stored_models(copies: dict) -> tuple[str, ...]:
+    in_memory = _fields.strings(copies, 'InMemory')
+    return (*in_memory, *_fields.strings(copies, 'OnDisk'))
--- a/berylhollow/platform/_records.py
+++ b/berylhollow/platform/_records.py
@@ -1,4 +1,4 @@
-"""Records of the platform's store: configuration and the instance list."""
+"""Decode the store's records of the configuration and the instance list."""
 
 import collections.abc
 
@@ -13,88 +13,95 @@
 CONFIGURATION_KEY = 'config'
 VERSION_PREFIX = 'version/'
 
-KINDS = {
+REPEAT_BY_KIND = {
     'safe': routes.Repeat.ANY_NUMBER,
     'unsafe': routes.Repeat.ONCE,
     'stream': routes.Repeat.STREAM,
 }
-LEAVING_STATES = {'ready': False, 'draining': True}
-"""Whether an endpoint leaves, by the state that its entry names."""
+IS_LEAVING_BY_STATE = {'ready': False, 'draining': True}
+"""Whether an endpoint is leaving, by the state in its entry."""
 
-UNITS = {
+UNIT_BY_NAME = {
     'requests': workspaces.Unit.REQUESTS,
     'tokens': workspaces.Unit.TOKENS,
 }
 
-START = 'born'
-"""Field of everything that an endpoint says of itself: the Unix time of its
-start in milliseconds. Its name stays the same over restarts, so the two
-together name what is running."""
+START_TIME_FIELD = 'born'
+"""Start time of an endpoint as a Unix time in milliseconds.
 
-MB = 1024 * 1024
-UNLIMITED = 1_000_000
+It is in every document that an endpoint writes about itself. The endpoint's
+name stays the same over restarts, so only name and start time together
+identify an incarnation."""
 
+BYTES_PER_MIB = 1024 * 1024
+UNLIMITED_CONNECTIONS = 1_000_000
 
-def split(data: bytes) -> tuple[str, bytes]:
-    """Return key and value of a keyed record; no value drops the key.
+
+def decode_keyed(data: bytes) -> tuple[str, bytes]:
+    """Return the key and value of a record; an empty value deletes the key.
 
     Raises ``routes.MalformedRecordError``.
     """
     if not data or not data[0] or len(data) < 1 + data[0]:
-        raise routes.MalformedRecordError('a record ends within its key')
+        raise routes.MalformedRecordError('the record ends within its key')
     end = 1 + data[0]
     try:
         return data[1:end].decode(), data[end:]
     except UnicodeDecodeError as error:
-        raise routes.MalformedRecordError('a key is no text') from error
+        raise routes.MalformedRecordError(
+            'the key is not valid UTF-8'
+        ) from error
 
 
-def join(key: str, value: bytes) -> bytes:
-    """Return a keyed record."""
+def encode_keyed(key: str, value: bytes) -> bytes:
+    """Encode a record from its key and value."""
     name = key.encode()
     return bytes([len(name)]) + name + value
 
 
 def decode_news(data: bytes) -> routes.News | None:
-    """Return what an operator published; None if it is none of ours.
+    """Decode a record of the configuration stream.
 
-    Raises ``routes.MalformedRecordError``.
+    Returns None for deleted keys and records that are not used here. Raises
+    ``routes.MalformedRecordError``.
     """
-    key, value = split(data)
+    key, value = decode_keyed(data)
     if not value:
         return None
     if key == CONFIGURATION_KEY:
-        return _table(_fields.document(value))
+        return _parse_route_table(_fields.parse_object(value))
     if key.startswith(VERSION_PREFIX):
-        return _adapter_version(_fields.document(value))
+        return _parse_adapter_version(_fields.parse_object(value))
     return None
 
 
 def decode_instance(data: bytes) -> tuple[str, events.Instance | None]:
-    """Return an endpoint's name in the list and its row.
+    """Return an endpoint's name in the instance list and its entry.
 
-    The row is None if the endpoint has left the list. Raises
-    ``routes.MalformedRecordError``, which has the name if that could be read.
+    The entry is None if the endpoint was removed from the list. Raises
+    ``routes.MalformedRecordError``, with the name if it could be decoded.
     """
-    key, value = split(data)
+    key, value = decode_keyed(data)
     if not value:
         return key, None
     try:
-        return key, _instance(key, _fields.document(value))
+        return key, _parse_instance(key, _fields.parse_object(value))
     except routes.MalformedRecordError as error:
         raise routes.MalformedRecordError(str(error), key) from error
 
 
-def _table(value: dict) -> routes.RouteTable:
-    limits = _fields.inner(value, 'Limits')
+def _parse_route_table(value: dict) -> routes.RouteTable:
+    limits = _fields.nested_object(value, 'Limits')
     services = _fields.objects(value, 'Services')
     return routes.RouteTable(
-        version=_fields.whole(value, 'Version'),
-        routes=tuple(map(_route, _fields.objects(value, 'Routes'))),
-        services=tuple(map(_service, services)),
+        version=_fields.integer(value, 'Version'),
+        routes=tuple(map(_parse_route, _fields.objects(value, 'Routes'))),
+        services=tuple(map(_parse_service, services)),
         limits=routes.RequestLimits(
-            header_bytes=_fields.whole(limits, 'MaxHeaderBytes', 16 * 1024),
-            body_bytes=_fields.whole(limits, 'MaxBodyBytes', 4 * MB),
+            header_bytes=_fields.integer(limits, 'MaxHeaderBytes', 16 * 1024),
+            body_bytes=_fields.integer(
+                limits, 'MaxBodyBytes', 4 * BYTES_PER_MIB
+            ),
             header_timeout_ms=_fields.milliseconds(
                 limits, 'HeaderTimeoutMs', 3000
             ),
@@ -102,33 +109,33 @@
                 limits, 'IdleTimeoutMs', 15_000
             ),
         ),
-        workspaces=_workspaces(_fields.objects(value, 'Tenants')),
+        workspaces=_parse_workspaces(_fields.objects(value, 'Tenants')),
     )
 
 
-def _workspaces(entries: list[dict]) -> tuple[workspaces.Workspace, ...]:
-    found = tuple(map(_workspace, entries))
-    keys = [key for workspace in found for key in workspace.keys]
+def _parse_workspaces(entries: list[dict]) -> tuple[workspaces.Workspace, ...]:
+    declared = tuple(map(_parse_workspace, entries))
+    keys = [key for workspace in declared for key in workspace.keys]
     if len(set(keys)) < len(keys):
-        raise routes.MalformedRecordError('two workspaces have one key')
-    if len({workspace.name for workspace in found}) < len(found):
-        raise routes.MalformedRecordError('two workspaces have one name')
-    return found
+        raise routes.MalformedRecordError('two workspaces have the same key')
+    if len({workspace.name for workspace in declared}) < len(declared):
+        raise routes.MalformedRecordError('two workspaces have the same name')
+    return declared
 
 
-def _workspace(entry: dict) -> workspaces.Workspace:
-    name = _fields.text(entry, 'Name')
+def _parse_workspace(entry: dict) -> workspaces.Workspace:
+    name = _fields.string(entry, 'Name')
     if not _is_header_value(name):
-        raise routes.MalformedRecordError('Name can not be sent in a header')
+        raise routes.MalformedRecordError('Name is not a valid header value')
     priority = None
     if entry.get('Priority') is not None:
-        priority = _fields.whole(entry, 'Priority')
-    keys = _fields.texts(entry, 'ApiKeys')
+        priority = _fields.integer(entry, 'Priority')
+    keys = _fields.strings(entry, 'ApiKeys')
     return workspaces.Workspace(
         name,
         frozenset(map(workspaces.digest, keys)),
         priority,
-        _quota(entry),
+        _parse_quota(entry),
     )
 
 
@@ -136,139 +143,140 @@
     return text.isascii() and text.isprintable() and text == text.strip()
 
 
-def _quota(entry: dict) -> workspaces.Quota | None:
+def _parse_quota(entry: dict) -> workspaces.Quota | None:
     rate_per_s = _fields.number(entry, 'RatePerS', 0)
     if not rate_per_s:
         return None
-    unit = _fields.text(entry, 'Unit', 'requests')
-    if unit not in UNITS:
+    unit = _fields.string(entry, 'Unit', 'requests')
+    if unit not in UNIT_BY_NAME:
         raise routes.MalformedRecordError(f'unknown unit {unit[:40]!r}')
     return workspaces.Quota(
-        UNITS[unit],
+        UNIT_BY_NAME[unit],
         rate_per_s,
         _fields.number(entry, 'Burst', 0),
-        _fields.whole(entry, 'PlainTokens', 0),
+        _fields.integer(entry, 'PlainTokens', 0),
     )
 
 
-def _route(entry: dict) -> routes.Route:
-    kind = _fields.text(entry, 'Kind')
-    if kind not in KINDS:
+def _parse_route(entry: dict) -> routes.Route:
+    kind = _fields.string(entry, 'Kind')
+    if kind not in REPEAT_BY_KIND:
         raise routes.MalformedRecordError(f'unknown kind {kind!r}')
     return routes.Route(
-        name=_fields.text(entry, 'Name', ''),
-        host=_fields.text(entry, 'Host'),
-        prefix=_fields.text(entry, 'PathPrefix'),
-        repeat=KINDS[kind],
+        name=_fields.string(entry, 'Name', ''),
+        host=_fields.string(entry, 'Host'),
+        prefix=_fields.string(entry, 'PathPrefix'),
+        repeat=REPEAT_BY_KIND[kind],
         timeout_ms=_fields.milliseconds(entry, 'TimeoutMs'),
         objective_ms=_fields.milliseconds(entry, 'TargetLatencyMs', 0),
-        priority=_fields.whole(entry, 'Priority', 0),
-        shares=_shares(entry),
-        most_runs=max(1, _fields.whole(entry, 'MaxAttempts', 1)),
-        resumable=_fields.truth(entry, 'Resumable'),
+        priority=_fields.integer(entry, 'Priority', 0),
+        shares=_parse_shares(entry),
+        most_runs=max(1, _fields.integer(entry, 'MaxAttempts', 1)),
+        resumable=_fields.boolean(entry, 'Resumable'),
         event_gap_ms=_fields.milliseconds(entry, 'GapTargetMs', 0),
-        public=_fields.truth(entry, 'AllowAnonymous'),
+        public=_fields.boolean(entry, 'AllowAnonymous'),
     )
 
 
-def _shares(entry: dict) -> tuple[routes.Share, ...]:
-    split_entries = _fields.objects(entry, 'TrafficSplit')
-    if not split_entries:
-        return (routes.Share(_fields.text(entry, 'Service'), 1.0),)
+def _parse_shares(entry: dict) -> tuple[routes.Share, ...]:
+    parts = _fields.objects(entry, 'TrafficSplit')
+    if not parts:
+        return (routes.Share(_fields.string(entry, 'Service'), 1.0),)
     return tuple(
         routes.Share(
-            _fields.text(part, 'Service'), _fields.number(part, 'Weight')
+            _fields.string(part, 'Service'), _fields.number(part, 'Weight')
         )
-        for part in split_entries
+        for part in parts
     )
 
 
-def _service(entry: dict) -> routes.Service:
-    engine = _fields.inner(entry, 'Engine')
+def _parse_service(entry: dict) -> routes.Service:
+    engine = _fields.nested_object(entry, 'Engine')
     return routes.Service(
-        name=_fields.text(entry, 'Name'),
-        connections=_fields.whole(entry, 'MaxConns', 0) or UNLIMITED,
-        engine=_engine(engine) if engine else None,
+        name=_fields.string(entry, 'Name'),
+        connections=_fields.integer(entry, 'MaxConns', 0)
+        or UNLIMITED_CONNECTIONS,
+        engine=_parse_engine(engine) if engine else None,
     )
 
 
-def _engine(entry: dict) -> routes.Engine:
+def _parse_engine(entry: dict) -> routes.Engine:
     models = _fields.objects(entry, 'Models')
     return routes.Engine(
-        batch=max(1, _fields.whole(entry, 'Slots', 1)),
-        adapter_slots=_fields.whole(entry, 'AdapterSlots', 0),
+        batch=max(1, _fields.integer(entry, 'Slots', 1)),
+        adapter_slots=_fields.integer(entry, 'AdapterSlots', 0),
         adapters=tuple(
             (
-                _fields.text(model, 'Name'),
-                _fields.whole(model, 'Adapters', 0),
+                _fields.string(model, 'Name'),
+                _fields.integer(model, 'Adapters', 0),
             )
             for model in models
         ),
     )
 
 
-def _adapter_version(value: dict) -> routes.NewAdapterVersion | None:
+def _parse_adapter_version(value: dict) -> routes.NewAdapterVersion | None:
     if not value.get('Adapter'):
         return None
     name = adapter_name(
-        _fields.text(value, 'Model'), _fields.text(value, 'Adapter')
+        _fields.string(value, 'Model'), _fields.string(value, 'Adapter')
     )
-    version = str(_fields.whole(value, 'Version'))
+    version = str(_fields.integer(value, 'Version'))
     return routes.NewAdapterVersion(messages.AdapterVersion(name, version))
 
 
-def _instance(name: str, entry: dict) -> events.Instance:
-    state = _fields.text(entry, 'State')
-    if state not in LEAVING_STATES:
+def _parse_instance(name: str, entry: dict) -> events.Instance:
+    state = _fields.string(entry, 'State')
+    if state not in IS_LEAVING_BY_STATE:
         raise routes.MalformedRecordError(f'unknown state {state!r}')
     incarnation = messages.Incarnation(name, started_ms(entry))
     models = _fields.objects(entry, 'Models')
     return events.Instance(
         instance=str(incarnation),
         role=events.Role.ENDPOINT,
-        service=_fields.text(entry, 'Service'),
-        failure_domain=_fields.text(entry, 'Zone', ''),
+        service=_fields.string(entry, 'Service'),
+        failure_domain=_fields.string(entry, 'Zone', ''),
         region='',
         address=_fields.address(entry, 'Address'),
-        leaving=LEAVING_STATES[state],
+        leaving=IS_LEAVING_BY_STATE[state],
         direct=True,
-        capacity=_fields.whole(entry, 'Slots', 0),
-        models=held_models(models),
-        adapters=held_adapters(models),
+        capacity=_fields.integer(entry, 'Slots', 0),
+        models=loaded_models(models),
+        adapters=loaded_adapters(models),
         incarnation=incarnation,
     )
 
 
 def started_ms(entry: dict) -> int:
-    """Return when an endpoint says that it started, 0 if it does not say."""
-    return _fields.whole(entry, START, 0)
+    """Return the start time that an endpoint reports, 0 if missing."""
+    return _fields.integer(entry, START_TIME_FIELD, 0)
 
 
 def adapter_name(model: str, adapter: str) -> str:
-    """Return the name by which requests ask for an adapter of a model."""
+    """Return the name that requests use for an adapter of a model."""
     return f'{model}{routes.ADAPTER_SEPARATOR}{adapter}'
 
 
-def held_models(models: collections.abc.Iterable[dict]) -> tuple[str, ...]:
-    """Return the names of the models that a list says are loaded."""
-    return tuple(_fields.text(model, 'Name') for model in models)
+def loaded_models(models: collections.abc.Iterable[dict]) -> tuple[str, ...]:
+    """Return the names of the models in an endpoint's list."""
+    return tuple(_fields.string(model, 'Name') for model in models)
 
 
-def held_adapters(
+def loaded_adapters(
     models: collections.abc.Iterable[dict],
 ) -> tuple[messages.AdapterVersion, ...]:
-    """Return the adapters that a list of models says are loaded."""
+    """Return the adapters in an endpoint's list of loaded models."""
     return tuple(
-        listed_adapter(adapter_name(_fields.text(model, 'Name'), listed))
+        parse_adapter(adapter_name(_fields.string(model, 'Name'), adapter))
         for model in models
-        for listed in _fields.texts(model, 'Adapters')
+        for adapter in _fields.strings(model, 'Adapters')
     )
 
 
-def listed_adapter(listed: str) -> messages.AdapterVersion:
-    """Return an adapter from MODEL/NAME@VERSION, the first one if none."""
-    name, _, version = listed.partition('@')
+def parse_adapter(text: str) -> messages.AdapterVersion:
+    """Parse MODEL/NAME@VERSION; a missing version means the first one."""
+    name, _, version = text.partition('@')
     version = version or routes.FIRST_VERSION
     if not (version.isascii() and version.isdecimal()):
-        raise routes.MalformedRecordError(f'no adapter: {listed[:80]!r}')
+        raise routes.MalformedRecordError(f'invalid adapter: {text[:80]!r}')
     return messages.AdapterVersion(name, version)
--- a/berylhollow/platform/_store.py
+++ b/berylhollow/platform/_store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's metadata store, a log of records."""
+"""Client of the platform's metadata store, which serves logs of records."""
 
 import base64
 import json
@@ -14,35 +14,38 @@
 from berylhollow.util import hedging
 
 CALL_TIMEOUT_MS = 1000
-"""A store that is well answers in some milliseconds."""
+"""A healthy store answers within milliseconds."""
 
 HEDGE_MS = 300
-"""A read that takes longer is made once more. Guards against a connection
-that has gone silent without an error, while new ones work: a gateway that
-waits for it takes that for an outage of the store, holds back what has left
-the list, and sends there for two seconds more."""
+"""A read that takes longer is sent a second time.
+
+Guards against a connection that went silent without an error while new ones
+work. A gateway that kept waiting would take this for an outage of the store,
+hold back removals from the instance list, and send requests to endpoints that
+have left for two more seconds."""
 
 WAIT_MARGIN_MS = 400
-"""What a read that waits may take beyond its wait."""
+"""Time that a long-polling read may take beyond its wait."""
 
-LENGTH = struct.Struct('>I')
-BOUNDS = struct.Struct('>QQ')
+RECORD_LENGTH = struct.Struct('>I')
+PAGE_HEADER = struct.Struct('>QQ')
 KEYED_PREFIX = 'keyed.'
 PARTITION = '0'
-ERA = 'Store-Era'
-GONE = 410
-MOST_PAGES = 100
+ERA_HEADER = 'Store-Era'
+GONE_STATUS = 410
+MAX_PAGES = 100
 PAGE_KB = 1024
 
 
 class StoreClient:
-    """Read and append records of the first partition of a topic.
-
-    Implements what ``shell.PlatformCalls`` needs of a log. Raises the kinds
-    of ``outgoing.CallError``. A read that does not wait for news is made
-    again after ``hedge_ms``, or if its connection breaks; only while the
-    store is ``well``, as far as the last such read showed. ``era`` is the
-    newest that an answer bore; one of an earlier era is late and not used.
+    """Reads and appends records in the first partition of a topic.
+
+    Implements the log that ``shell.PlatformCalls`` uses, and raises
+    subclasses of ``outgoing.CallError``. A read that does not wait for new
+    records is hedged: it is sent again after ``hedge_ms`` or if its
+    connection breaks. This is done only while ``is_healthy``, that is, if
+    the last such read succeeded. ``era`` is the newest store era seen in a
+    response; responses of an earlier era are late and are discarded.
     """
 
     def __init__(
@@ -54,24 +57,24 @@
         self.url = f'http://{address}/v1'
         self.session = session or outgoing.open_session()
         self.hedge_ms = hedge_ms
-        self.well = True
+        self.is_healthy = True
         self.era = 0
 
     async def newest(self, stream: str) -> log_service.ReadResult:
-        """Return the newest record of each key, page by page."""
+        """Return the newest record of each key, read page by page."""
         entries: list[messages.LogEntry] = []
         first_end: int | None = None
         eras = set()
         params = {'Topic': stream, 'part': PARTITION}
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             data, era = await self._get('log-newest', params)
             page = json.loads(data)
             eras.add(era)
-            # Pages are no snapshot: what changed since the first of them is
-            # read again from where that one ended.
+            # The pages are not one snapshot. Reading on from the end of the
+            # first page covers what has changed since.
             first_end = page['End'] if first_end is None else first_end
             for item in page['items']:
-                data = _records.join(
+                data = _records.encode_keyed(
                     item['Key'], base64.b64decode(item['Value'])
                 )
                 entries.append(messages.LogEntry(int(item['Offset']), 0, data))
@@ -79,7 +82,7 @@
                 break
             params['after'] = page['items'][-1]['Key']
         if len(eras) > 1:
-            raise outgoing.NotDone('the store came back between two pages')
+            raise outgoing.NotDone('the store era changed between two pages')
         return log_service.ReadResult(
             tuple(entries), 0, first_end or 0, eras.pop()
         )
@@ -87,7 +90,7 @@
     async def read(
         self, stream: str, from_offset: int, wait_ms: int = 0
     ) -> log_service.ReadResult:
-        """Return the records from an offset on, waiting for the first.
+        """Return the records from an offset on, waiting for the first one.
 
         Raises ``log_service.OffsetGone`` if they were deleted.
         """
@@ -99,12 +102,12 @@
         }
         if wait_ms:
             params['WaitMs'] = str(wait_ms)
-            data, era = await self._ask(
+            data, era = await self._request(
                 'log-read', params, wait_ms + WAIT_MARGIN_MS
             )
         else:
             data, era = await self._get('log-read', params)
-        return _decode(data, from_offset, era)
+        return _decode_page(data, from_offset, era)
 
     async def append(self, stream: str, data: bytes) -> int:
         """Append a record and return its offset."""
@@ -114,7 +117,7 @@
             f'{self.url}/log-append',
             CALL_TIMEOUT_MS,
             params={'Topic': stream, 'part': PARTITION},
-            data=LENGTH.pack(len(data)) + data,
+            data=RECORD_LENGTH.pack(len(data)) + data,
         )
         async with response:
             body = await outgoing.read_body(response)
@@ -125,34 +128,38 @@
         return int(json.loads(body)['Offset'])
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         await self.session.close()
 
     async def _get(self, call: str, params: dict) -> tuple[bytes, int]:
         try:
-            if self.well:
-                answer = await self._ask_twice(call, params)
+            if self.is_healthy:
+                answer = await self._request_hedged(call, params)
             else:
-                answer = await self._ask(call, params, CALL_TIMEOUT_MS)
+                answer = await self._request(call, params, CALL_TIMEOUT_MS)
         except (outgoing.NotDone, outgoing.MaybeDone):
-            self.well = False
+            self.is_healthy = False
             raise
-        self.well = True
+        self.is_healthy = True
         return answer
 
-    async def _ask_twice(self, call: str, params: dict) -> tuple[bytes, int]:
-        time = clock.MonotonicClock()
-        ends_ms = time.now_ms() + CALL_TIMEOUT_MS
+    async def _request_hedged(
+        self, call: str, params: dict
+    ) -> tuple[bytes, int]:
+        monotonic = clock.MonotonicClock()
+        deadline_ms = monotonic.now_ms() + CALL_TIMEOUT_MS
         return await hedging.first_answer(
-            lambda: self._ask(call, params, ends_ms - time.now_ms()),
+            lambda: self._request(
+                call, params, deadline_ms - monotonic.now_ms()
+            ),
             self.hedge_ms / clock.MS_PER_SECOND,
             (outgoing.MaybeDone,),
         )
 
-    async def _ask(
+    async def _request(
         self, call: str, params: dict, timeout_ms: int
     ) -> tuple[bytes, int]:
-        """Return the body of an answer and its era."""
+        """Send a GET request and return the body and the store era."""
         response = await outgoing.open_call(
             self.session,
             'GET',
@@ -162,42 +169,44 @@
         )
         async with response:
             body = await outgoing.read_body(response)
-        era = self._note_era(response.headers.get(ERA, '0'))
-        if response.status == GONE:
+        era = self._check_era(response.headers.get(ERA_HEADER, '0'))
+        if response.status == GONE_STATUS:
             detail = {'first_offset': json.loads(body)['First']}
             raise log_service.OffsetGone(
-                outgoing.Refused('offset_gone', GONE, detail)
+                outgoing.Refused('offset_gone', GONE_STATUS, detail)
             )
         if response.status != 200:
             raise outgoing.NotDone(f'HTTP {response.status}')
         return body, era
 
-    def _note_era(self, text: str) -> int:
+    def _check_era(self, text: str) -> int:
         if not (text.isascii() and text.isdecimal()):
-            raise outgoing.MaybeDone('the era of an answer is no number')
+            raise outgoing.MaybeDone('the store era is not a number')
         era = int(text)
         if era < self.era:
-            raise outgoing.NotDone('an answer of an earlier era')
+            raise outgoing.NotDone('the response is from an earlier store era')
         self.era = era
         return era
 
 
-def _decode(data: bytes, from_offset: int, era: int) -> log_service.ReadResult:
-    """Return the records of an answer; those cut off at its end are left."""
-    if len(data) < BOUNDS.size:
-        raise outgoing.MaybeDone('the answer has no bounds')
-    end, first_offset = BOUNDS.unpack_from(data)
+def _decode_page(
+    data: bytes, from_offset: int, era: int
+) -> log_service.ReadResult:
+    """Decode a page of records; a truncated last record is ignored."""
+    if len(data) < PAGE_HEADER.size:
+        raise outgoing.MaybeDone('the response is shorter than its header')
+    end, first_offset = PAGE_HEADER.unpack_from(data)
     entries = []
     offset = from_offset
-    at = BOUNDS.size
-    while at + LENGTH.size <= len(data):
-        (length,) = LENGTH.unpack_from(data, at)
-        at += LENGTH.size
-        if at + length > len(data):
+    position = PAGE_HEADER.size
+    while position + RECORD_LENGTH.size <= len(data):
+        (length,) = RECORD_LENGTH.unpack_from(data, position)
+        position += RECORD_LENGTH.size
+        if position + length > len(data):
             break
-        record = data[at : at + length]
+        record = data[position : position + length]
         entries.append(messages.LogEntry(offset, 0, record))
-        at += length
+        position += length
         offset += 1
     return log_service.ReadResult(
         tuple(entries), first_offset, offset, era, offset >= end
--- a/test/platform/test_foreign_entries.py
+++ b/test/platform/test_foreign_entries.py
@@ -1,7 +1,7 @@
-"""Records of another writer in the store's streams.
+"""Tests of decoding records from other writers in the store's streams.
 
-Whatever stands in one, it decodes to a row, to nothing, or to the one typed
-error, and a reader goes on with the next.
+Whatever a record contains, it must decode to an entry or to None, or raise
+``MalformedRecordError``, so that the reader can continue with the next one.
 """
 
 import json
@@ -17,8 +17,8 @@
 from berylhollow import routes
 from test import platform_builders as builders
 
-BORN_MS = 1_790_000_000_000
-VALUES = strategies.recursive(
+STARTED_MS = 1_790_000_000_000
+JSON_VALUES = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.integers()
@@ -32,10 +32,10 @@
     ),
     max_leaves=5,
 )
-FIXED = hypothesis.settings(
+DETERMINISTIC = hypothesis.settings(
     derandomize=True, max_examples=300, database=None, deadline=None
 )
-WRONG = (
+INVALID_FIELDS = (
     ('Service', None),
     ('Service', ''),
     ('Service', ['huvo11a']),
@@ -63,16 +63,16 @@
     ('Models', [{'Name': 'm', 'Adapters': 'a1'}]),
     ('Models', [{'Name': 'm', 'Adapters': [1]}]),
     ('Models', [{'Name': 'm', 'Adapters': ['a1@x']}]),
-    ('born', str(BORN_MS)),
-    ('born', BORN_MS + 0.5),
+    ('born', str(STARTED_MS)),
+    ('born', STARTED_MS + 0.5),
     ('born', True),
-    ('born', -BORN_MS),
-    ('born', [BORN_MS]),
+    ('born', -STARTED_MS),
+    ('born', [STARTED_MS]),
 )
 
 
-def decoded(record):
-    """Return what an entry decodes to, None for the typed error."""
+def decode_or_none(record):
+    """Return the decoded name and entry, None if malformed."""
     try:
         name, row = platform.decode_instance(record)
     except routes.MalformedRecordError:
@@ -84,21 +84,21 @@
 
 class EntryTest(unittest.TestCase):
     def test_start_makes_the_incarnation(self):
-        """A restart under the old name was taken for the same endpoint."""
+        """A restarted endpoint of the same name was taken for the old one."""
         rows = [
             platform.decode_instance(
                 builders.keyed('i-1', builders.entry(born=born))
             )[1]
-            for born in (BORN_MS, BORN_MS + 1)
+            for born in (STARTED_MS, STARTED_MS + 1)
         ]
         self.assertEqual(
-            messages.Incarnation('i-1', BORN_MS), rows[0].incarnation
+            messages.Incarnation('i-1', STARTED_MS), rows[0].incarnation
         )
         self.assertNotEqual(rows[0].instance, rows[1].instance)
         self.assertEqual('i-1', rows[1].listed_name)
 
     def test_wrong_values_name_no_endpoint(self):
-        for field, value in WRONG:
+        for field, value in INVALID_FIELDS:
             with self.subTest(field=field, value=value):
                 entry = builders.entry(**{field: value})
                 with self.assertRaises(routes.MalformedRecordError) as raised:
@@ -118,17 +118,17 @@
                     platform.decode_instance(record)
                 self.assertEqual('', raised.exception.key)
 
-    @FIXED
+    @DETERMINISTIC
     @hypothesis.given(strategies.binary(max_size=64))
     def test_any_bytes(self, record):
-        decoded(record)
+        decode_or_none(record)
 
-    @FIXED
+    @DETERMINISTIC
     @hypothesis.given(
-        strategies.sampled_from(sorted(builders.entry(born=1))), VALUES
+        strategies.sampled_from(sorted(builders.entry(born=1))), JSON_VALUES
     )
     def test_any_value_in_any_field(self, field, value):
-        found = decoded(
+        found = decode_or_none(
             builders.keyed('i-1', builders.entry(**{field: value}))
         )
         if found is not None:
@@ -137,7 +137,7 @@
 
 class NewsTest(unittest.TestCase):
     def test_versions_of_other_types(self):
-        """The text '7' was taken for the number, and so was the truth 1."""
+        """The string '7' was taken for an integer, and true for 1."""
         for version in ('7', True, 7.0, -1, None, [7], 10**400):
             with self.subTest(version=version):
                 with self.assertRaises(routes.MalformedRecordError):
@@ -149,9 +149,9 @@
                         builders.configuration_record(version)
                     )
 
-    @FIXED
+    @DETERMINISTIC
     @hypothesis.given(
-        strategies.sampled_from(sorted(builders.route())), VALUES
+        strategies.sampled_from(sorted(builders.route())), JSON_VALUES
     )
     def test_any_value_in_any_field_of_a_route(self, field, value):
         route = builders.route(**{field: value})
@@ -172,18 +172,18 @@
         'Queued': 1,
         'Active': 12,
         'Pending': ['m/a2@1'],
-        'born': BORN_MS,
+        'born': STARTED_MS,
     }
 
     def test_report_tells_its_start(self):
-        state = _order._state(self.REPORT)
-        self.assertEqual(BORN_MS, state.started_ms)
+        state = _order._parse_state(self.REPORT)
+        self.assertEqual(STARTED_MS, state.started_ms)
         self.assertEqual(2, state.orders)
 
-    @FIXED
-    @hypothesis.given(strategies.sampled_from(sorted(REPORT)), VALUES)
+    @DETERMINISTIC
+    @hypothesis.given(strategies.sampled_from(sorted(REPORT)), JSON_VALUES)
     def test_any_value_in_any_field(self, field, value):
         try:
-            _order._state(self.REPORT | {field: value})
+            _order._parse_state(self.REPORT | {field: value})
         except routes.MalformedRecordError:
             return
--- a/test/platform/test_node.py
+++ b/test/platform/test_node.py
@@ -1,4 +1,4 @@
-"""The file in which the platform tells a process where it runs."""
+"""Tests of loading the platform's node file."""
 
 import pathlib
 import tempfile
@@ -16,7 +16,7 @@
             path.write_text(text)
             return platform.load(path, serves_callers)
 
-    def faults(self, *replacements, serves_callers=True):
+    def load_faults(self, *replacements, serves_callers=True):
         text = builders.NODE_FILE
         for old, new in replacements:
             self.assertIn(old, text)
@@ -40,7 +40,7 @@
         self.assertEqual('127.0.0.1:8145', str(node.endpoint))
 
     def test_every_fault_is_named_with_its_path(self):
-        faults = self.faults(
+        faults = self.load_faults(
             ('Node = "front-sal-kista-1"', ''),
             ('[7380, 7395]', '[7395, 7380]'),
             ('GraceS = 8', 'GraceS = "8"'),
@@ -60,7 +60,7 @@
         )
 
     def test_truth_value_is_no_number(self):
-        (fault,) = self.faults(('GraceS = 8', 'GraceS = true'))
+        (fault,) = self.load_faults(('GraceS = 8', 'GraceS = true'))
         self.assertIn('Bounds.GraceS: must be int or float', fault)
 
     def test_file_that_is_no_toml(self):
--- a/test/platform/test_records.py
+++ b/test/platform/test_records.py
@@ -1,4 +1,4 @@
-"""Records of the users' store, decoded."""
+"""Tests of decoding the records of the platform's store."""
 
 import unittest
 
--- a/test/platform/test_store.py
+++ b/test/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Reads of the platform's store over connections that let it down."""
+"""Tests of reads from the platform's store over failing connections."""
 
 import asyncio
 import contextlib
@@ -14,15 +14,15 @@
 STREAM = 'keyed.servers'
 EMPTY = struct.pack('>QQ', 0, 0)
 HEDGE_MS = 20
-NEVER_MS = 60_000
-"""However slow the machine is, no read is repeated for taking so long."""
+NO_HEDGE_MS = 60_000
+"""So long that no read is hedged, however slow the machine is."""
 
-HANG_S = 30
-"""Far above what any wait takes: a fault then fails instead of hanging."""
+TEST_TIMEOUT_S = 30
+"""Far longer than any wait, so that a fault fails instead of hanging."""
 
 
 class StoreTestCase(unittest.IsolatedAsyncioTestCase):
-    """A store that answers each read as the next of ``answers`` says."""
+    """Runs a store that handles each read with the next of ``answers``."""
 
     async def asyncSetUp(self):
         self.stack = contextlib.AsyncExitStack()
@@ -45,59 +45,66 @@
         return await answer(request)
 
     async def next_offset(self, wait_ms=0):
-        async with asyncio.timeout(HANG_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             result = await self.client.read(STREAM, 7, wait_ms)
         return result.next_offset
 
 
-async def well(_request):
+async def succeed(_request):
     return web.Response(body=EMPTY)
 
 
-async def silent(_request):
+async def hang(_request):
     await asyncio.Event().wait()
 
 
-async def broken(request):
+async def abort_connection(request):
     request.transport.abort()
     return web.Response()
 
 
-async def refused(_request):
+async def refuse(_request):
     return web.Response(status=503)
 
 
-async def after_a_while(_request):
+async def succeed_late(_request):
     await asyncio.sleep(3 * HEDGE_MS / 1000)
     return web.Response(body=EMPTY)
 
 
 class HedgeTest(StoreTestCase):
     async def test_connection_that_went_silent(self):
-        """The kept connection to the store goes silent, new ones work.
+        """The open connection to the store goes silent, new ones work.
 
-        The list of endpoints was as old as the time limit of a call, which
-        looks like an outage of the store: what left the list meanwhile was
-        sent requests for two seconds more.
+        Without a second read the instance list was as old as the timeout of
+        a call, which looks like an outage of the store: endpoints that left
+        the list meanwhile were sent requests for two more seconds.
         """
-        self.answers = [silent, well]
+        self.answers = [hang, succeed]
         self.assertEqual(7, await self.next_offset())
 
     async def test_connection_that_broke(self):
-        self.answers = [broken, well]
+        self.answers = [abort_connection, succeed]
         self.assertEqual(7, await self.next_offset())
 
     async def test_refusal_is_not_asked_for_twice(self):
-        """Each call to the store has its price, refused ones too."""
-        self.client.hedge_ms = NEVER_MS
-        self.answers = [refused]
+        """Every call to the store has a cost, refused ones included."""
+        self.client.hedge_ms = NO_HEDGE_MS
+        self.answers = [refuse]
         with self.assertRaises(outgoing.NotDone):
             await self.next_offset()
         self.assertEqual(1, self.calls)
 
     async def test_store_that_is_down_is_asked_once_a_read(self):
-        """It resets every connection; twice the calls bring nothing."""
-        self.answers = [broken, broken, broken, well, broken, well]
+        """Hedged reads are useless while it resets every connection."""
+        self.answers = [
+            abort_connection,
+            abort_connection,
+            abort_connection,
+            succeed,
+            abort_connection,
+            succeed,
+        ]
         for _ in range(2):
             with self.assertRaises(outgoing.CallError):
                 await self.next_offset()
@@ -106,44 +113,44 @@
             self.assertEqual(7, await self.next_offset())
 
     async def test_read_that_waits_for_news_is_made_once(self):
-        self.answers = [after_a_while]
+        self.answers = [succeed_late]
         self.assertEqual(7, await self.next_offset(wait_ms=1000))
         self.assertEqual(1, self.calls)
 
     async def test_slow_answer_counts_while_the_second_is_lost(self):
-        self.answers = [after_a_while, broken]
+        self.answers = [succeed_late, abort_connection]
         self.assertEqual(7, await self.next_offset())
 
 
-def of_era(era):
-    async def answer(_request):
+def response_of_era(era):
+    async def respond(_request):
         return web.Response(body=EMPTY, headers={'Store-Era': era})
 
-    return answer
+    return respond
 
 
 class EraTest(StoreTestCase):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.client.hedge_ms = NEVER_MS
+        self.client.hedge_ms = NO_HEDGE_MS
 
     async def test_era_of_each_answer_is_told(self):
-        self.answers += [well, of_era('3')]
+        self.answers += [succeed, response_of_era('3')]
         eras = [(await self.client.read(STREAM, 7)).era for _ in range(2)]
         self.assertEqual([0, 3], eras)
 
     async def test_late_answer_of_an_earlier_era_is_not_used(self):
-        """An answer from before the store came back arrives after it.
+        """A response from before a store restart arrives after it.
 
-        Its offsets are of records that are gone.
+        Its offsets refer to records that no longer exist.
         """
-        self.answers += [of_era('3'), of_era('2')]
+        self.answers += [response_of_era('3'), response_of_era('2')]
         await self.client.read(STREAM, 7)
         with self.assertRaises(outgoing.NotDone):
             await self.client.read(STREAM, 7, 100)
 
     async def test_era_that_is_no_number_is_no_answer(self):
-        self.answers += [of_era('x')]
+        self.answers += [response_of_era('x')]
         with self.assertRaises(outgoing.MaybeDone):
             await self.client.read(STREAM, 7, 100)
 
--- a/test/platform/test_workspaces.py
+++ b/test/platform/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces and their keys, as the users' platform spells them."""
+"""Tests of workspaces and their keys in the platform's format."""
 
 import unittest
 
@@ -7,21 +7,21 @@
 
 from berylhollow import messages
 from berylhollow import platform
-from berylhollow.platform import _runs
+from berylhollow.platform import _endpoint_calls
 from berylhollow import routes
 from berylhollow import workspaces
-from test import builders as samples
+from test import builders as common_builders
 from test import platform_builders as builders
 
 KEY = 'asnmgkcuyj8pjbvk9m68'
 
 
-def declared(*entries):
+def decode_workspaces(*entries):
     record = builders.configuration_record(workspaces=list(entries))
     return platform.decode_news(record).workspaces
 
 
-def draft(*headers, path='/lohu930/x'):
+def accept_request(*headers, path='/lohu930/x'):
     pairs = multidict.CIMultiDict([('Host', builders.HOST), *headers])
     request = test_utils.make_mocked_request('POST', path, pairs)
     return platform.CallerDialect().accept(request, 5000)
@@ -29,7 +29,7 @@
 
 class DecodeTest(unittest.TestCase):
     def test_workspace_with_keys_priority_and_quota(self):
-        (found,) = declared(
+        (found,) = decode_workspaces(
             builders.workspace(
                 'hule930', KEY, 'other', Priority=1, **builders.quota(64811)
             )
@@ -43,17 +43,19 @@
 
     def test_rate_of_zero_or_none_is_no_limit(self):
         for limits in ({}, builders.quota(0, 500)):
-            (found,) = declared(builders.workspace('w', KEY, **limits))
+            (found,) = decode_workspaces(
+                builders.workspace('w', KEY, **limits)
+            )
             self.assertIsNone(found.quota)
 
     def test_own_priority_is_told_apart_from_none(self):
-        first, second = declared(
+        first, second = decode_workspaces(
             builders.workspace('a', Priority=0), builders.workspace('b')
         )
         self.assertEqual((0, None), (first.priority, second.priority))
 
     def test_malformed_workspaces_are_refused_without_their_keys(self):
-        """A key in a log line can be used by whoever reads the log."""
+        """A key in a log line could be used by anyone who reads the log."""
         for entries in (
             [builders.workspace(5, KEY)],
             [builders.workspace('w', KEY) | {'ApiKeys': KEY}],
@@ -67,7 +69,7 @@
         ):
             with self.subTest(entries=entries):
                 with self.assertRaises(routes.MalformedRecordError) as caught:
-                    declared(*entries)
+                    decode_workspaces(*entries)
                 self.assertNotIn(KEY, str(caught.exception))
 
     def test_route_may_be_open_to_all(self):
@@ -80,7 +82,9 @@
 
 class HeadTest(unittest.TestCase):
     def test_head_tells_key_path_and_tokens(self):
-        head = draft(('api-KEY', KEY), ('Token-Count', '1460,80')).head
+        head = accept_request(
+            ('api-KEY', KEY), ('Token-Count', '1460,80')
+        ).head
         self.assertEqual(workspaces.digest(KEY), head.credential)
         self.assertEqual('/lohu930/x', head.path)
         self.assertEqual(builders.HOST, head.host)
@@ -95,15 +99,15 @@
             (('Api-Key', KEY * 100),),
         ):
             with self.subTest(headers=headers):
-                self.assertIsNone(draft(*headers).head.credential)
+                self.assertIsNone(accept_request(*headers).head.credential)
 
     def test_key_and_claimed_workspace_reach_no_endpoint(self):
-        """A caller names another workspace, in any case and number.
+        """A caller sends other workspaces' names, in any case and number.
 
-        The endpoint would do the work in that one's name; with the key it
-        could call in the caller's own.
+        The endpoint would run the request for that workspace, and with the
+        key it could send requests as the caller.
         """
-        request = draft(
+        request = accept_request(
             ('Api-Key', KEY),
             ('aPI-kEY', KEY),
             ('Tenant', 'other'),
@@ -112,13 +116,17 @@
         ).build('r1', b'')
         names = [header.name for header in request.headers]
         self.assertEqual(['X-More'], names)
-        offer = samples.offer(caller='hule930', headers=request.headers)
-        sent = _runs._headers(offer, 'i-1')
+        offer = common_builders.offer(
+            caller='hule930', headers=request.headers
+        )
+        sent = _endpoint_calls._request_headers(offer, 'i-1')
         self.assertEqual(['hule930'], sent.getall('Tenant'))
         self.assertNotIn(KEY, str(sent))
 
     def test_nobody_is_named_for_a_caller_without_a_workspace(self):
-        offer = samples.offer(
+        offer = common_builders.offer(
             caller='', headers=(messages.Header('X-More', 'kept'),)
         )
-        self.assertNotIn('Tenant', _runs._headers(offer, 'i-1'))
+        self.assertNotIn(
+            'Tenant', _endpoint_calls._request_headers(offer, 'i-1')
+        )
--- a/test/platform_builders.py
+++ b/test/platform_builders.py
@@ -1,4 +1,4 @@
-"""Builders of what the users' platform sends, in its own names."""
+"""Builders of the platform's documents and records for tests."""
 
 import dataclasses
 import json
@@ -40,7 +40,7 @@
 
 
 def node(**changes):
-    """Return what the platform says of a gateway's process."""
+    """Return the description of a gateway process, from a node file."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / 'node.toml'
         path.write_text(NODE_FILE, encoding='utf-8')
@@ -78,12 +78,12 @@
 
 
 def workspace(name='hule930', *keys, **changes):
-    """Return a workspace; without keys nobody can call in its name."""
+    """Return a workspace; without keys no caller can use it."""
     return {'Name': name, 'ApiKeys': list(keys)} | changes
 
 
 def quota(rate_per_s, burst=None, **changes):
-    """Return what limits a workspace in tokens."""
+    """Return the fields of a workspace with a quota of tokens."""
     values = {
         'Unit': 'tokens',
         'PlainTokens': 200,
@@ -134,7 +134,7 @@
 
 
 def keyed(key, value):
-    """Return a keyed record; a value of None drops the key."""
+    """Return a keyed record; a value of None deletes the key."""
     data = b'' if value is None else json.dumps(value).encode()
     name = key.encode()
     return bytes([len(name)]) + name + data
