--- a/berylhollow/publishing/__init__.py
+++ b/berylhollow/publishing/__init__.py
@@ -1,4 +1,7 @@
-"""What operators' commands do with the log: read, plan and publish."""
+"""Read the configuration log, plan changes and publish them.
+
+Used by the operators' commands.
+"""
 
 from berylhollow.publishing import _publisher
 from berylhollow.publishing import _session
--- a/berylhollow/publishing/_publisher.py
+++ b/berylhollow/publishing/_publisher.py
@@ -1,4 +1,4 @@
-"""Publish a manifest as one change and tell what became of it."""
+"""Publish a manifest as one change and report its outcome."""
 
 import collections.abc
 import dataclasses
@@ -10,20 +10,20 @@
 from berylhollow.publishing import _session
 from berylhollow.util import exits
 
-RETRY_PAUSE_MS = 200
-SHOWN_NAMES = 5
-SIGNS = {True: '+', False: '~'}
+RETRY_DELAY_MS = 200
+MAX_SHOWN_NAMES = 5
+SIGN_BY_IS_NEW = {True: '+', False: '~'}
 
 
 class ConflictError(exits.UserError):
-    """Another change won; nothing of this one is in force."""
+    """Another change was accepted instead; this one has no effect."""
 
     def __init__(self, message: str):
         super().__init__(message, exits.ExitCode.CONFLICT)
 
 
 class UnsettledError(exits.UserError):
-    """The change may be in force now or later: the log did not say."""
+    """It is unknown whether the change is, or will be, in force."""
 
     def __init__(self, change_id: str):
         super().__init__(
@@ -36,14 +36,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What publishing a manifest would change at a revision."""
+    """The changes that publishing a manifest makes to a base revision."""
 
     base: configuration.Configuration
     deltas: tuple[configuration.Delta, ...]
 
 
 class Publisher:
-    """Publish through a session with the log; ``timeout_ms`` bounds a call."""
+    """Publishes through a session; ``timeout_ms`` limits each operation."""
 
     def __init__(self, session: _session.Session, timeout_ms: int):
         self.session = session
@@ -52,9 +52,9 @@
     async def plan(
         self, wanted: manifest.Manifest, base_revision: int | None = None
     ) -> Plan:
-        """Return what a manifest changes against the revision in force.
+        """Return the difference between a manifest and the revision in force.
 
-        Raises ``ConflictError`` if that is not ``base_revision``.
+        Raises ``ConflictError`` if that revision is not ``base_revision``.
         """
         await self.session.catch_up(self.timeout_ms)
         state = self.session.state
@@ -62,7 +62,7 @@
         if base_revision is not None and base_revision != present.revision:
             raise ConflictError(
                 f'revision {present.revision} is in force, not '
-                f'{base_revision}: {self.describe_winner(state.last)}'
+                f'{base_revision}: {self.describe_accepted(state.last)}'
             )
         return Plan(present, configuration.difference(present, wanted))
 
@@ -71,9 +71,9 @@
     ) -> int:
         """Append the change of a plan and return the accepted revision.
 
-        Raises ``ConflictError``, ``ManifestError`` if it was invalid,
-        ``UnavailableError`` if nothing was published and ``UnsettledError``
-        if that is not known.
+        Raises ``ConflictError`` if another change was accepted instead,
+        ``ManifestError`` if the manifest is invalid, ``UnavailableError`` if
+        nothing was published and ``UnsettledError`` if the outcome is unknown.
         """
         change = configuration.Change(
             plan.base.revision, operator, uuid.uuid4().hex, plan.deltas
@@ -84,48 +84,48 @@
         return await self.settle(change.change_id)
 
     async def append(self, change: configuration.Change) -> None:
-        """Append until the log confirms it, or a record of it is there.
+        """Append a change, retrying until its record is known to be stored.
 
-        Guards against a lost answer, which shows as a failed append whose
-        change comes into force all the same. Appending again is harmless:
-        the copies have one base revision, which the first one to be accepted
-        replaces, so that no other can be accepted after it.
+        If the response is lost, the append seems to have failed although the
+        change comes into force. Appending it again is safe: all copies have
+        the same base revision, so after the first is accepted the others
+        conflict with it.
         """
         data = configuration.encode_change(change)
-        give_up_ms = self.session.clock.now_ms() + self.timeout_ms
-        perhaps = False
+        deadline_ms = self.session.clock.now_ms() + self.timeout_ms
+        is_maybe_appended = False
         while True:
             try:
                 await self.session.log.append(configuration.STREAM, data)
                 return
             except outgoing.MaybeDone:
-                perhaps = True
+                is_maybe_appended = True
             except outgoing.CallError as error:
                 reason = str(error)
-            if self.session.clock.now_ms() >= give_up_ms:
-                if perhaps:
+            if self.session.clock.now_ms() >= deadline_ms:
+                if is_maybe_appended:
                     raise UnsettledError(change.change_id)
                 raise _session.UnavailableError(
                     f'nothing was published: {reason}'
                 )
-            if perhaps and await self.is_there(change.change_id):
+            if is_maybe_appended and await self.has_record(change.change_id):
                 return
-            await self.session.sleep(RETRY_PAUSE_MS)
+            await self.session.sleep(RETRY_DELAY_MS)
 
-    async def is_there(self, change_id: str) -> bool:
-        """Return whether a record of the change can be read by now."""
+    async def has_record(self, change_id: str) -> bool:
+        """Return whether the log shows a record of the change by now."""
         try:
-            await self.session.catch_up(RETRY_PAUSE_MS)
+            await self.session.catch_up(RETRY_DELAY_MS)
         except _session.UnavailableError:
             return False
         return self.verdict(change_id) is not None
 
     async def settle(self, change_id: str) -> int:
-        """Return the revision of a change that was appended just now.
+        """Wait for the outcome of an appended change and return its revision.
 
         Raises as ``publish``.
         """
-        give_up_ms = self.session.clock.now_ms() + self.timeout_ms
+        deadline_ms = self.session.clock.now_ms() + self.timeout_ms
         while True:
             try:
                 await self.session.catch_up(self.timeout_ms)
@@ -133,57 +133,57 @@
                 raise UnsettledError(change_id) from error
             verdict = self.verdict(change_id)
             if verdict is not None:
-                return self.conclude(verdict)
-            if self.session.clock.now_ms() >= give_up_ms:
+                return self.revision_or_raise(verdict)
+            if self.session.clock.now_ms() >= deadline_ms:
                 raise UnsettledError(change_id)
-            await self.session.sleep(RETRY_PAUSE_MS)
+            await self.session.sleep(RETRY_DELAY_MS)
 
     async def settle_earlier(self, change_id: str) -> int:
-        """Return the revision of a change of which the log holds a record.
+        """Find a change of an earlier session and return its revision.
 
-        Raises as ``publish``; ``UnsettledError`` also if there is none, for
-        one may still be under way.
+        Raises as ``publish``; ``UnsettledError`` also if the log has no
+        record of it, since an append may still be in progress.
         """
-        offset = await self.session.find(change_id)
+        offset = await self.session.find_change(change_id)
         if offset is None:
             raise UnsettledError(change_id)
-        # A newer snapshot would hide what became of the change.
+        # A snapshot beyond the change would hide its verdict.
         self.session.history.reach = offset
         return await self.settle(change_id)
 
-    def conclude(self, verdict: configuration.Verdict) -> int:
-        """Return the accepted revision, or raise what became of it."""
+    def revision_or_raise(self, verdict: configuration.Verdict) -> int:
+        """Return the accepted revision, or raise the error for the verdict."""
         if verdict.outcome is configuration.Outcome.ACCEPTED:
             return verdict.offset + 1
         if verdict.outcome is configuration.Outcome.INVALID:
             raise manifest.ManifestError(verdict.faults)
         raise ConflictError(
-            f'another change won: {self.describe_winner(verdict.won)}'
+            f'another change won: {self.describe_accepted(verdict.won)}'
         )
 
     def verdict(self, change_id: str) -> configuration.Verdict | None:
-        """Return what became of a change, None if no record was read.
+        """Return the verdict on a change, None if no record of it was read.
 
-        Of several records of one change at most one is accepted, and that
-        one counts.
+        If the change has several records, at most one of them is accepted;
+        its verdict is returned.
         """
-        found = [
+        matching = [
             verdict
             for verdict in self.session.history.verdicts
             if verdict.change and verdict.change.change_id == change_id
         ]
-        for verdict in found:
+        for verdict in matching:
             if verdict.outcome is configuration.Outcome.ACCEPTED:
                 return verdict
-        return found[0] if found else None
+        return matching[0] if matching else None
 
-    def describe_winner(self, won: configuration.Accepted) -> str:
-        """Return who published the change that won, and what it changed."""
+    def describe_accepted(self, winner: configuration.Accepted) -> str:
+        """Return the revision, operator and content of an accepted change."""
         text = (
-            f'revision {won.revision} by {won.operator or "nobody"} '
-            f'(change {won.change_id or "none"})'
+            f'revision {winner.revision} by {winner.operator or "nobody"} '
+            f'(change {winner.change_id or "none"})'
         )
-        verdict = self.verdict(won.change_id)
+        verdict = self.verdict(winner.change_id)
         if verdict is None:
             return text
         names = describe_names(verdict.change)
@@ -191,17 +191,21 @@
 
 
 def describe_names(change: configuration.Change) -> str:
-    """Return the first few names that a change is about."""
+    """Return a text with the first few names in a change."""
     if change.whole is not None:
         return 'everything'
-    names = [_name(delta) for delta in change.deltas]
-    shown = ', '.join(names[:SHOWN_NAMES])
-    more = len(names) - SHOWN_NAMES
-    return f'{shown} and {more} more' if more > 0 else shown or 'nothing'
+    names = [_entity_name(delta) for delta in change.deltas]
+    shown = ', '.join(names[:MAX_SHOWN_NAMES])
+    hidden_count = len(names) - MAX_SHOWN_NAMES
+    return (
+        f'{shown} and {hidden_count} more'
+        if hidden_count > 0
+        else shown or 'nothing'
+    )
 
 
 def describe_deltas(plan: Plan) -> collections.abc.Iterator[str]:
-    """Yield a line per delta: added +, changed ~, removed -."""
+    """Yield a line per delta, with + for added, ~ changed and - removed."""
     sections = {
         configuration.EntityKind.SERVICE: plan.base.services,
         configuration.EntityKind.ADAPTER: plan.base.adapters,
@@ -212,11 +216,11 @@
             yield f'- {delta.kind.name.lower()} {delta.name}'
             continue
         kind = configuration.KINDS[type(delta.entity)]
-        sign = SIGNS[delta.entity.name not in sections[kind]]
+        sign = SIGN_BY_IS_NEW[delta.entity.name not in sections[kind]]
         yield f'{sign} {kind.name.lower()} {delta.entity.name}'
 
 
-def _name(delta: configuration.Delta) -> str:
+def _entity_name(delta: configuration.Delta) -> str:
     if isinstance(delta, configuration.Remove):
         return delta.name
     return delta.entity.name
--- a/berylhollow/publishing/_session.py
+++ b/berylhollow/publishing/_session.py
@@ -1,4 +1,4 @@
-"""Read the configuration from the log service, as the processes do."""
+"""Read the configuration from the log service for operators' commands."""
 
 import asyncio
 import collections.abc
@@ -12,29 +12,29 @@
 from berylhollow import outgoing
 from berylhollow.util import exits
 
-PAUSE_MS = 50
-KEPT_VERDICTS = 100_000
+POLL_INTERVAL_MS = 50
+MAX_KEPT_VERDICTS = 100_000
 
 Sleep = collections.abc.Callable[[int], collections.abc.Awaitable[None]]
 
 
 class UnavailableError(exits.UserError):
-    """The log can't be read, or does not hold what is needed."""
+    """The log can't be read, or lacks the required records."""
 
     def __init__(self, message: str):
         super().__init__(message, exits.ExitCode.UNAVAILABLE)
 
 
 async def sleep_ms(duration_ms: int) -> None:
-    """Let time pass."""
+    """Sleep for a duration."""
     await asyncio.sleep(duration_ms / clocks.MS_PER_SECOND)
 
 
 class Session:
-    """A log service and what was read of the configuration on it.
+    """A connection to the log and the configuration history read from it.
 
-    It decides nothing: the same machine that runs in gateways and sidecars
-    says what to read. ``sleep`` waits for milliseconds.
+    What to read is determined by ``configuration.LogReader``, the same state
+    machine that gateways and sidecars run. ``sleep`` takes milliseconds.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         self.log = log
         self.sleep = sleep
         self.clock = clock or clocks.MonotonicClock()
-        self.history = configuration.History(KEPT_VERDICTS)
+        self.history = configuration.History(MAX_KEPT_VERDICTS)
         self.reader = configuration.LogReader(self.history)
 
     @property
@@ -54,31 +54,38 @@
         return self.history.state
 
     async def catch_up(self, timeout_ms: int) -> None:
-        """Read up to the end; raises ``UnavailableError`` after a time."""
-        give_up_ms = self.clock.now_ms() + timeout_ms
+        """Read to the end of the log.
+
+        Raises ``UnavailableError`` if that takes longer than the timeout.
+        """
+        deadline_ms = self.clock.now_ms() + timeout_ms
         self.reader.caught_up_ms = None
-        wanted = self.reader.read(self.clock.now_ms())
+        pending_reads = self.reader.read(self.clock.now_ms())
         while self.reader.caught_up_ms is None:
-            for effect in wanted:
-                event = await self.carry_out(effect)
-                wanted = self.reader.handle(event)
-            self.check(give_up_ms)
-            if not wanted and self.reader.caught_up_ms is None:
-                await self.sleep(PAUSE_MS)
-                wanted = self.reader.tick(self.clock.now_ms())
-
-    def check(self, give_up_ms: int) -> None:
-        """Raise ``UnavailableError`` if reading on can bring nothing."""
+            for effect in pending_reads:
+                event = await self.read_once(effect)
+                pending_reads = self.reader.handle(event)
+            self.raise_if_unreadable(deadline_ms)
+            if not pending_reads and self.reader.caught_up_ms is None:
+                await self.sleep(POLL_INTERVAL_MS)
+                pending_reads = self.reader.tick(self.clock.now_ms())
+
+    def raise_if_unreadable(self, deadline_ms: int) -> None:
+        """Raise ``UnavailableError`` if reading can't succeed any more.
+
+        This is so at a change that needs newer software and once the deadline
+        has passed.
+        """
         if self.history.stopped:
             raise UnavailableError(
-                f'the log holds a change that this program cannot judge: '
+                f'the log holds a change that this version cannot evaluate: '
                 f'{self.history.stopped}'
             )
-        late = self.clock.now_ms() >= give_up_ms
-        if late and self.reader.caught_up_ms is None:
-            raise UnavailableError(self.reason())
+        is_late = self.clock.now_ms() >= deadline_ms
+        if is_late and self.reader.caught_up_ms is None:
+            raise UnavailableError(self.unavailable_reason())
 
-    def reason(self) -> str:
+    def unavailable_reason(self) -> str:
         if self.reader.gap:
             return (
                 'the log no longer holds the changes from offset '
@@ -87,11 +94,14 @@
             )
         return 'the log cannot be read at present'
 
-    async def find(self, change_id: str) -> int | None:
-        """Return the offset of the first kept record of a change, if any."""
+    async def find_change(self, change_id: str) -> int | None:
+        """Return the offset of the first record of a change, None if missing.
+
+        Records that the log has already deleted are not found.
+        """
         offset = 0
         while True:
-            event = await self.carry_out(
+            event = await self.read_once(
                 effects.ReadLog(configuration.STREAM, offset)
             )
             if isinstance(event, events.LogRead):
@@ -104,12 +114,12 @@
             elif event.first_offset is not None:
                 offset = event.first_offset
             else:
-                raise UnavailableError(self.reason())
+                raise UnavailableError(self.unavailable_reason())
 
-    async def carry_out(
+    async def read_once(
         self, read: effects.ReadLog
     ) -> events.LogRead | events.LogReadFailed:
-        """Read the log once and return what came of it."""
+        """Execute one read of the log and return its result as an event."""
         try:
             result = await self.log.read(read.stream, read.from_offset)
         except log_service.OffsetGone as gone:
