--- a/berylhollow/gateway/_adapters.py
+++ b/berylhollow/gateway/_adapters.py
@@ -82,13 +82,13 @@
     if is_new:
         stop_waiting(state, active)
         active.awaiting = name
-        waiting = state.awaiting.setdefault(name, {})
+        waiting = state.awaiting_adapter.setdefault(name, {})
         waiting[active.request.request_id] = None
         _backlog.add_request(state.endpoints[name], active)
     active.retry_at_ms = at_ms + state.options.adapter_check_ms
     if not is_new:
         return []
-    result = tell(state, _sidecar_peer(state, name), at_ms)
+    result = send_demands(state, _sidecar_peer(state, name), at_ms)
     fields = (
         ('request_id', active.request.request_id),
         ('adapter', str(active.request.adapter)),
@@ -102,23 +102,25 @@
     """Remove a request from those waiting for an adapter."""
     name = active.awaiting
     active.awaiting = ''
-    waiting = state.awaiting.get(name, {})
+    waiting = state.awaiting_adapter.get(name, {})
     if active.request.request_id in waiting:
         del waiting[active.request.request_id]
         _backlog.remove_request(state.endpoints[name], active)
 
 
-def waiting_at(state: _state.State, name: str) -> list[_state.ActiveRequest]:
+def requests_awaiting_adapter(
+    state: _state.State, name: str
+) -> list[_state.ActiveRequest]:
     """Return the requests that wait for an adapter at an endpoint."""
-    ids = list(state.awaiting.get(name, ()))
+    ids = list(state.awaiting_adapter.get(name, ()))
     found = (state.requests.get(request_id) for request_id in ids)
     return [active for active in found if active is not None]
 
 
-def tell(state: _state.State, peer: str, at_ms: int) -> Effects:
+def send_demands(state: _state.State, peer: str, at_ms: int) -> Effects:
     """Send a sidecar the adapter demand at its endpoint."""
     sidecar = state.sidecars.get(peer)
-    name = state.beside.get(peer, '')
+    name = state.endpoint_by_peer.get(peer, '')
     endpoint = state.endpoints.get(name)
     if sidecar is None or endpoint is None:
         return []
@@ -134,17 +136,17 @@
     state: _state.State, active: _state.ActiveRequest
 ) -> None:
     """Report the adapter's use soon if this attempt is its first there."""
-    _tell_soon(state, active, uses_at_change=1)
+    _report_use_change(state, active, uses_at_change=1)
 
 
 def note_attempt_removed(
     state: _state.State, active: _state.ActiveRequest
 ) -> None:
     """Report the adapter's use soon if no attempt uses it there any more."""
-    _tell_soon(state, active, uses_at_change=0)
+    _report_use_change(state, active, uses_at_change=0)
 
 
-def _tell_soon(
+def _report_use_change(
     state: _state.State, active: _state.ActiveRequest, uses_at_change: int
 ) -> None:
     """Report demand at the next tick if loads wait and a use has changed.
@@ -177,7 +179,7 @@
     result: Effects = []
     for peer, sidecar in state.sidecars.items():
         if _is_demand_due(state, peer, sidecar, at_ms):
-            result += tell(state, peer, at_ms)
+            result += send_demands(state, peer, at_ms)
     return result
 
 
@@ -194,11 +196,11 @@
     age_ms = at_ms - sidecar.told_ms
     if age_ms >= state.options.idle_demand_ms:
         return True
-    name = state.beside.get(peer, '')
+    name = state.endpoint_by_peer.get(peer, '')
     endpoint = state.endpoints.get(name)
     if endpoint is None:
         return False
-    in_use = endpoint.placed or state.awaiting.get(name)
+    in_use = endpoint.attempts_in_flight or state.awaiting_adapter.get(name)
     if in_use and age_ms >= state.options.demand_ms:
         return True
     change = abs(endpoint.waiting_tokens - sidecar.told_tokens)
@@ -222,7 +224,7 @@
     configuration = state.follower.current
     service = endpoint.instance.service
     waiting: dict[str, int] = {}
-    for active in waiting_at(state, name):
+    for active in requests_awaiting_adapter(state, name):
         adapter = active.request.adapter.adapter
         waiting[adapter] = waiting.get(adapter, 0) + 1
     in_flight = _in_flight_by_adapter(state, endpoint)
@@ -263,7 +265,7 @@
 ) -> dict[str, int]:
     """Return how many attempts use each adapter at an endpoint."""
     counts: dict[str, int] = {}
-    for attempt_id in endpoint.placed:
+    for attempt_id in endpoint.attempts_in_flight:
         active = state.request_of(attempt_id)
         if active is None or active.request.adapter is None:
             continue
--- a/berylhollow/gateway/_attempt_links.py
+++ b/berylhollow/gateway/_attempt_links.py
@@ -21,12 +21,12 @@
         state.placement.replace(event.peer, endpoint.report, None)
         endpoint.report = None
     endpoint.incarnation = event.incarnation
-    if endpoint.moved:
+    if endpoint.has_moved:
         endpoint.leaving = True
     if not endpoint.leaving:
         endpoint.refusals = 0
     result = state.follower.handle(event)
-    for attempt_id in sorted(endpoint.placed):
+    for attempt_id in sorted(endpoint.attempts_in_flight):
         active = state.request_of(attempt_id)
         if active is not None:
             result += _resume_attempt(state, active, event)
@@ -42,7 +42,7 @@
     endpoint.retry_link_at_ms = event.at_ms + _reopen_delay_ms(
         state, event.peer
     )
-    for attempt_id in endpoint.placed:
+    for attempt_id in endpoint.attempts_in_flight:
         active = state.request_of(attempt_id)
         if active is not None and active.resume_by_ms is None:
             active.resume_by_ms = event.at_ms + state.options.resume_ms
@@ -56,7 +56,7 @@
     endpoint is opened only to detect a new process at its address.
     """
     endpoint = state.endpoints[peer]
-    if endpoint.placed or endpoint.moved:
+    if endpoint.attempts_in_flight or endpoint.has_moved:
         return 0
     if not endpoint.leaving:
         return _link_pacing.first_pause_ms(state, peer)
--- a/berylhollow/gateway/_attempts.py
+++ b/berylhollow/gateway/_attempts.py
@@ -82,12 +82,12 @@
             errors.Ran.NOT_RUN,
             refusal.retry_after_ms,
         )
-    wait_ms = _quotas.over(state, active, at_ms)
+    wait_ms = _quotas.retry_wait_ms(state, active, at_ms)
     if wait_ms:
         kind = errors.Kind.QUOTA_EXCEEDED
         return give_up(state, active, kind, errors.Ran.NOT_RUN, wait_ms)
-    rate_requests = _rate_limits.missed(state, active, at_ms)
-    name = _routing.choose(state, active, at_ms)
+    rate_requests = _rate_limits.request_loans(state, active, at_ms)
+    name = _routing.choose_endpoint(state, active, at_ms)
     if name is None:
         return rate_requests + _handle_no_endpoint(state, active, at_ms)
     if not _adapters.is_ready(state, active, name, at_ms):
@@ -119,7 +119,7 @@
     again. Otherwise requests would fail when all gateways are replaced at
     once and the balancer has no other gateway to send them to.
     """
-    rate_limited = _rate_limits.without_room(state, active, at_ms)
+    rate_limited = _rate_limits.endpoints_at_limit(state, active, at_ms)
     if rate_limited and not active.may_have_run:
         return _handle_rate_limits(state, active, rate_limited, at_ms)
     pause_ms = _pauses.retry_after_ms(state, active, at_ms)
@@ -161,7 +161,9 @@
     )
 
 
-def started(state: _state.State, event: events.MessageReceived) -> Effects:
+def begin_answer(
+    state: _state.State, event: events.MessageReceived
+) -> Effects:
     """Begin to relay the answer, which commits the request to this attempt."""
     message = event.message
     active = _current_request(state, event)
@@ -201,17 +203,17 @@
     active = _current_request(state, event)
     if active is None:
         return []
-    message = _believed(state, active, event)
+    message = _distrust_stale_not_run(state, active, event)
     result: Effects = []
     if message.kind in ENDPOINT_GONE_KINDS:
         state.endpoints[event.peer].leaving = True
     if message.kind is errors.Kind.ENDPOINT_REPLACED:
-        result = _crashes.over(state, event.peer, event.at_ms)
+        result = _crashes.report_crash(state, event.peer, event.at_ms)
     _crashes.record_cut_off(state, active, message, event.at_ms)
     return result + _handle_failure(state, active, message, event.at_ms)
 
 
-def _believed(
+def _distrust_stale_not_run(
     state: _state.State,
     active: _state.ActiveRequest,
     event: events.MessageReceived,
@@ -262,7 +264,7 @@
     return []
 
 
-def succeeded(state: _state.State, active: _state.ActiveRequest) -> None:
+def record_success(state: _state.State, active: _state.ActiveRequest) -> None:
     """Record that the endpoint gave a complete answer."""
     endpoint = state.endpoints.get(active.endpoint)
     if endpoint is not None:
@@ -301,7 +303,7 @@
     request = active.request
     endpoint = state.endpoints[name]
     _adapters.stop_waiting(state, active)
-    _quotas.sent_on(state, active, at_ms)
+    _quotas.charge_run(state, active, at_ms)
     if active.attempts == 0:
         _budget.deposit(state, active)
     active.attempts += 1
@@ -311,8 +313,8 @@
     active.phase = _state.Phase.OFFERED
     active.endpoint = name
     active.incarnation = endpoint.incarnation
-    active.tried.add(name)
-    endpoint.placed.add(active.attempt_id)
+    active.tried_endpoints.add(name)
+    endpoint.attempts_in_flight.add(active.attempt_id)
     _rate_limits.spend(endpoint, at_ms)
     active.room_asked_ms = None
     _backlog.add_attempt(endpoint, active)
@@ -410,7 +412,7 @@
     factor = _backoff_factor(failure)
     if failure.kind is errors.Kind.ENGINE_RESTARTED and factor:
         # Allow the same endpoint again, since it may be the only one left.
-        active.tried.discard(active.endpoint)
+        active.tried_endpoints.discard(active.endpoint)
     if not factor:
         return place(state, active, at_ms)
     pause_ms = factor * state.options.retry_pause_ms * (1 + active.seed)
@@ -456,9 +458,9 @@
     if (
         is_free
         and failure.kind in ENDPOINT_LOST_KINDS
-        and not active.lost_once
+        and not active.used_free_retry
     ):
-        active.lost_once = True
+        active.used_free_retry = True
         return True
     return _budget.try_withdraw(state, active)
 
@@ -469,7 +471,7 @@
     """Remove the request's current attempt from its endpoint."""
     endpoint = state.endpoints.get(active.endpoint)
     if endpoint is not None:
-        endpoint.placed.discard(active.attempt_id)
+        endpoint.attempts_in_flight.discard(active.attempt_id)
         _backlog.remove_request(endpoint, active)
         _adapters.note_attempt_removed(state, active)
     state.attempts.pop(active.attempt_id, None)
--- a/berylhollow/gateway/_budget.py
+++ b/berylhollow/gateway/_budget.py
@@ -35,7 +35,7 @@
     return True
 
 
-def forget(state: _state.State) -> None:
+def remove_unknown_callers(state: _state.State) -> None:
     """Drop the budgets of callers that the state no longer holds."""
     stale_keys = [
         key
--- a/berylhollow/gateway/_claim_leader.py
+++ b/berylhollow/gateway/_claim_leader.py
@@ -58,14 +58,16 @@
     at_ms: int,
 ) -> Effects:
     """Send the batch to the leader; set the deadline of its confirmation."""
-    partition.taken_by_ms = at_ms + state.options.claim_forward_ms
+    partition.forward_deadline_ms = at_ms + state.options.claim_forward_ms
     message = messages.ClaimsForwarded(
         partition.number, partition.append_id, data
     )
     return [effects.Send(partition.leader, message)]
 
 
-def forwarded(state: _state.State, event: events.MessageReceived) -> Effects:
+def queue_forwarded_claims(
+    state: _state.State, event: events.MessageReceived
+) -> Effects:
     """Queue the entries of a forwarded batch; the next tick appends them."""
     message: messages.ClaimsForwarded = event.message
     if not 0 <= message.partition < state.options.claim_partitions:
@@ -76,7 +78,7 @@
         entries = claims.decode(message.batch)
     except claims.RecordError:
         return [effects.Log('forwarded claims can not be decoded', (), True)]
-    partition = _settlement.partition_numbered(state, message.partition)
+    partition = _settlement.partition_by_number(state, message.partition)
     batch = _state.ForwardedBatch(event.peer, message.batch_id, len(entries))
     for entry in entries:
         partition.queue.append(_state.QueuedEntry(entry, batch))
@@ -100,7 +102,9 @@
     return result
 
 
-def confirmed(state: _state.State, event: events.MessageReceived) -> Effects:
+def handle_confirmation(
+    state: _state.State, event: events.MessageReceived
+) -> Effects:
     """Handle the leader's confirmation of a batch; its verdicts follow."""
     message: messages.ClaimsTaken = event.message
     partition = state.partitions.get(message.partition)
@@ -114,7 +118,7 @@
 def tick(state: _state.State, partition: _state.Partition, at_ms: int) -> None:
     """Fall back to the log if the leader did not confirm a batch in time."""
     awaits_leader = partition.leader and partition.append_id
-    if awaits_leader and at_ms >= partition.taken_by_ms:
+    if awaits_leader and at_ms >= partition.forward_deadline_ms:
         fall_back(state, partition, at_ms)
 
 
--- a/berylhollow/gateway/_claims.py
+++ b/berylhollow/gateway/_claims.py
@@ -48,7 +48,7 @@
 
 def appended(state: _state.State, event: events.Appended) -> Effects:
     """Handle a confirmed append: read the log to decide its claims."""
-    partition = _settlement.partition_with(state, event.stream)
+    partition = _settlement.partition_by_stream(state, event.stream)
     if partition is None or partition.append_id != event.append_id:
         return []
     result = _claim_leader.confirm_batches(partition)
@@ -64,7 +64,7 @@
     ``Settled`` entries are queued again in either case: the ledger applies
     duplicates only once.
     """
-    partition = _settlement.partition_with(state, event.stream)
+    partition = _settlement.partition_by_stream(state, event.stream)
     if partition is None or partition.append_id != event.append_id:
         return []
     batch = partition.appending
@@ -85,7 +85,7 @@
 
 def log_read(state: _state.State, event: events.LogRead) -> Effects:
     """Apply the records read to the ledger and decide the claims in them."""
-    partition = _settlement.partition_with(state, event.stream)
+    partition = _settlement.partition_by_stream(state, event.stream)
     if partition is None:
         return []
     partition.reading = False
@@ -108,7 +108,7 @@
     state: _state.State, event: events.LogReadFailed
 ) -> Effects:
     """Retry later, from the oldest record if the next offset was trimmed."""
-    partition = _settlement.partition_with(state, event.stream)
+    partition = _settlement.partition_by_stream(state, event.stream)
     if partition is None:
         return []
     partition.reading = False
@@ -197,7 +197,9 @@
     return _settle_claim(state, partition, entry.claim_id, verdict, at_ms)
 
 
-def decided(state: _state.State, event: events.MessageReceived) -> Effects:
+def apply_verdict(
+    state: _state.State, event: events.MessageReceived
+) -> Effects:
     """Handle the leader's verdict on a claim that this gateway forwarded."""
     message: messages.ClaimDecided = event.message
     partition = state.partitions.get(message.partition)
--- a/berylhollow/gateway/_crashes.py
+++ b/berylhollow/gateway/_crashes.py
@@ -50,7 +50,7 @@
     endpoint.lost[active.request.fingerprint] = at_ms
 
 
-def over(state: _state.State, name: str, at_ms: int) -> Effects:
+def report_crash(state: _state.State, name: str, at_ms: int) -> Effects:
     """Report the runs cut off at an endpoint that ended without draining."""
     endpoint = state.endpoints.get(name)
     if endpoint is None or not endpoint.lost:
--- a/berylhollow/gateway/_decisions.py
+++ b/berylhollow/gateway/_decisions.py
@@ -34,7 +34,7 @@
             ('adapter', str(offer.adapter) if offer.adapter else ''),
             ('remaining_ms', offer.remaining_ms),
             ('waited_ms', at_ms - active.arrived_ms),
-            ('in_flight', len(endpoint.placed)),
+            ('in_flight', len(endpoint.attempts_in_flight)),
             ('backlog_ms', round(_backlog.before(state, endpoint, active))),
             ('others_tokens', endpoint.others_tokens),
             ('report_age_ms', report_age_ms),
@@ -57,7 +57,7 @@
     if not state.options.needs_instances:
         return []
     usable_count = sum(
-        endpoint.usable and endpoint.instance.service == active.service
+        endpoint.is_usable and endpoint.instance.service == active.service
         for endpoint in state.endpoints.values()
     )
     configuration = state.follower.current
--- a/berylhollow/gateway/_direct_runs.py
+++ b/berylhollow/gateway/_direct_runs.py
@@ -44,7 +44,7 @@
     def message(self, peer: str, message: messages.Message) -> None:
         """Handle a message from an endpoint."""
 
-    def noticed(
+    def notice_received(
         self, peer: str, sent_ms: int, notice: events.EndpointNotice
     ) -> None:
         """Handle what an endpoint says about itself in an answer."""
@@ -52,7 +52,7 @@
     def now_ms(self) -> int:
         """Return the current time."""
 
-    def row_of(self, name: str) -> events.Instance | None:
+    def listed_instance(self, name: str) -> events.Instance | None:
         """Return the listed instance of an endpoint, None if unknown."""
 
 
@@ -74,7 +74,7 @@
         """Return whether a message concerns an attempt."""
         return isinstance(message, ATTEMPT_MESSAGES)
 
-    def take(self, peer: str, message: messages.Message) -> None:
+    def handle_message(self, peer: str, message: messages.Message) -> None:
         """Start or cancel an attempt, or handle an acknowledgement."""
         if isinstance(message, messages.Offer):
             self._start_run(peer, message)
@@ -132,7 +132,7 @@
 
     async def execute(self) -> None:
         """Send the request and report its answer or failure."""
-        instance = self.owner.row_of(self.peer)
+        instance = self.owner.listed_instance(self.peer)
         if instance is None:
             kind = errors.Kind.ENDPOINT_UNREACHABLE
             self._report_failure(
@@ -155,7 +155,7 @@
             return
         try:
             if answer.notice is not None:
-                self.owner.noticed(self.peer, sent_ms, answer.notice)
+                self.owner.notice_received(self.peer, sent_ms, answer.notice)
             await self._handle_answer(answer)
         finally:
             answer.close()
--- a/berylhollow/gateway/_ejection.py
+++ b/berylhollow/gateway/_ejection.py
@@ -62,6 +62,7 @@
         if other.instance.service == service
     ]
     remaining = sum(
-        other.usable_at(at_ms) and other is not endpoint for other in members
+        other.is_usable_at(at_ms) and other is not endpoint
+        for other in members
     )
     return remaining * 2 >= len(members)
--- a/berylhollow/gateway/_fleet.py
+++ b/berylhollow/gateway/_fleet.py
@@ -11,7 +11,7 @@
 UNKNOWN_CAPACITY = 1
 """Requests that an endpoint runs at once, where neither report nor list
 says."""
-HOLDERS = 16
+MAX_HOLDERS_COMPARED = 16
 """How many holders of an adapter are compared for one request."""
 
 
@@ -30,7 +30,7 @@
         self.state = state
         self.service = active.service
         self.active = active
-        self.tried = active.tried
+        self.tried = active.tried_endpoints
         self.seed = active.seed
         self.at_ms = at_ms
 
@@ -55,8 +55,8 @@
         return (
             endpoint is not None
             and name not in self.tried
-            and endpoint.usable_at(self.at_ms)
-            and endpoint.equipped
+            and endpoint.is_usable_at(self.at_ms)
+            and endpoint.has_model
             and _rate_limits.has_room(
                 self.state, self.active, endpoint, self.at_ms
             )
@@ -73,7 +73,7 @@
         versions = self.state.follower.current.acceptable(adapter, self.at_ms)
         for version in versions:
             ready = self.state.placement.ready.get(version, ())
-            sampled = _spread(list(ready), self.seed, HOLDERS)
+            sampled = _spread(list(ready), self.seed, MAX_HOLDERS_COMPARED)
             names = self._usable(sampled) or self._usable(ready)
             if names:
                 return names
@@ -81,7 +81,7 @@
 
     def awaiting(self, adapter: messages.AdapterVersion) -> list[str]:
         """Return endpoints that load it, or where requests wait for it."""
-        names = self.state.placement.awaiting(adapter, self.at_ms)
+        names = self.state.placement.endpoints_loading(adapter, self.at_ms)
         return [name for name in names if self.may_choose(name)]
 
     def ranked(
@@ -98,7 +98,7 @@
 
     def held_lately(self, name: str, adapter: messages.AdapterVersion) -> bool:
         """Tell whether an endpoint recently held an adapter."""
-        return self.state.placement.held_lately(name, adapter)
+        return self.state.placement.was_recently_held(name, adapter)
 
     def view(self, name: str) -> policy.EndpointView:
         """Return the load and capacity of an endpoint, as far as known."""
@@ -112,7 +112,7 @@
                 name,
                 domain,
                 capacity,
-                len(endpoint.placed),
+                len(endpoint.attempts_in_flight),
                 0.0,
                 0,
                 True,
@@ -137,11 +137,11 @@
         The requests placed by this gateway are known exactly; a report adds
         those that other gateways had placed when it was made.
         """
-        own = len(endpoint.placed)
+        own = len(endpoint.attempts_in_flight)
         report = endpoint.report
         if report is None:
             return own
-        others = report.running + report.queued - endpoint.placed_at_report
+        others = report.running + report.queued - endpoint.in_flight_at_report
         return own + max(0, others)
 
     def least_loaded(self) -> str | None:
--- a/berylhollow/gateway/_link_pacing.py
+++ b/berylhollow/gateway/_link_pacing.py
@@ -31,7 +31,7 @@
 
 def opening_capacity(state: _state.State) -> int:
     """Return how many more links may be opening at once."""
-    opening = len(state.peers_opening) + sum(
+    opening = len(state.peer_links_opening) + sum(
         endpoint.link is _state.LinkPhase.OPENING
         for endpoint in state.endpoints.values()
     )
--- a/berylhollow/gateway/_coordinator.py
+++ b/berylhollow/gateway/_load_coordinator.py
@@ -27,11 +27,11 @@
     """Store the load that a sidecar wants most; grant permits or defer it."""
     book = state.load_book
     message = event.message
-    book.wishes[event.peer] = _state.Wish(message, event.at_ms)
+    book.wanted_loads[event.peer] = _state.WantedLoad(message, event.at_ms)
     result = _grant_permits(state, event.at_ms)
-    if event.peer in book.wishes:
+    if event.peer in book.wanted_loads:
         spacing_ms = max(book.load_ms, MS_PER_SECOND / book.rate.rate_per_s)
-        wait_ms = int(len(book.wishes) * spacing_ms)
+        wait_ms = int(len(book.wanted_loads) * spacing_ms)
         deferred = messages.LoadDeferred(message.adapter, wait_ms)
         result.append(effects.Send(event.peer, deferred))
     return result
@@ -62,9 +62,11 @@
         del book.permits[number]
     oldest_ms = at_ms - state.options.load_wish_ms
     for peer in [
-        peer for peer, wish in book.wishes.items() if wish.at_ms < oldest_ms
+        peer
+        for peer, wish in book.wanted_loads.items()
+        if wish.at_ms < oldest_ms
     ]:
-        del book.wishes[peer]
+        del book.wanted_loads[peer]
     return _grant_permits(state, at_ms)
 
 
@@ -72,23 +74,25 @@
     """Grant permits, most valuable load first, within limit and rate."""
     book = state.load_book
     result: Effects = []
-    while book.wishes and len(book.permits) < state.options.loads_at_once:
+    while (
+        book.wanted_loads and len(book.permits) < state.options.loads_at_once
+    ):
         if not book.rate.take(at_ms):
             break
-        peer = max(book.wishes, key=lambda name: _load_value(book, name))
+        peer = max(book.wanted_loads, key=lambda name: _load_value(book, name))
         result.append(_issue_permit(state, peer, at_ms))
     return result
 
 
-def _load_value(book: _state.LoadBook, peer: str) -> tuple[float, str]:
+def _load_value(book: _state.LoadCoordination, peer: str) -> tuple[float, str]:
     """Return the value of a sidecar's load, and its name to break ties."""
-    return book.wishes[peer].message.value, peer
+    return book.wanted_loads[peer].message.value, peer
 
 
 def _issue_permit(state: _state.State, peer: str, at_ms: int) -> effects.Send:
     """Issue a permit for the load that a sidecar wants."""
     book = state.load_book
-    wish = book.wishes.pop(peer)
+    wish = book.wanted_loads.pop(peer)
     book.granted += 1
     valid_ms = int(
         max(state.options.load_lapse_ms, LAPSE_FACTOR * book.load_ms)
--- a/berylhollow/gateway/_membership.py
+++ b/berylhollow/gateway/_membership.py
@@ -75,7 +75,7 @@
         # was read before the configuration, links and loads would otherwise
         # wait for the next list, up to 0.7 s after every start.
         _sidecars.update_endpoints(state)
-        _quotas.declared(state, at_ms)
+        _quotas.apply_configuration(state, at_ms)
         result += _sidecars.tick(state, at_ms)
     state.served_revision = view.revision if view else 0
     gateways = [state.options.instance, *state.peers]
@@ -106,15 +106,17 @@
         state.peer_retry_at_ms.pop(name, None)
     for name in [name for name in state.endpoints if name not in rows]:
         endpoint = state.endpoints[name]
-        if not endpoint.placed:
+        if not endpoint.attempts_in_flight:
             if not endpoint.leaving:
-                result += _crashes.over(state, name, event.at_ms)
+                result += _crashes.report_crash(state, name, event.at_ms)
             state.placement.remove(
                 name, endpoint.instance.service, endpoint.report
             )
             del state.endpoints[name]
             _notices.forget(state, endpoint)
-            _model_loads.forget(state, name, endpoint.instance.service)
+            _model_loads.remove_endpoint(
+                state, name, endpoint.instance.service
+            )
             _sidecars.forget(state, name)
             result.append(_removal_effect(endpoint))
         elif endpoint.instance.direct:
@@ -148,7 +150,7 @@
         endpoint.superseded = latest[row.address] is not row
         if endpoint.superseded and not (was_superseded or endpoint.leaving):
             result.append(_endpoint_log('endpoint superseded', row))
-            result += _crashes.over(state, row.instance, at_ms)
+            result += _crashes.report_crash(state, row.instance, at_ms)
     return result
 
 
@@ -192,7 +194,7 @@
     state.placement.replace(event.peer, endpoint.report, event.message)
     endpoint.report = event.message
     endpoint.report_at_ms = event.at_ms
-    endpoint.placed_at_report = len(endpoint.placed)
+    endpoint.in_flight_at_report = len(endpoint.attempts_in_flight)
     endpoint.leaving = event.message.leaving
     return []
 
@@ -207,7 +209,7 @@
     if endpoint is None:
         return []
     endpoint.link = _state.LinkPhase.CLOSED
-    if not endpoint.placed:
+    if not endpoint.attempts_in_flight:
         endpoint.refusals += 1
     pause_ms = _link_pacing.pause_ms(state, event.peer, endpoint.refusals)
     endpoint.retry_link_at_ms = event.at_ms + pause_ms
@@ -233,7 +235,7 @@
     endpoint.leaving = endpoint.leaving or row.leaving
     if row.direct:
         return logs
-    if endpoint.moved and endpoint.link is _state.LinkPhase.OPEN:
+    if endpoint.has_moved and endpoint.link is _state.LinkPhase.OPEN:
         _drain_old_address(endpoint)
     return []
 
@@ -268,7 +270,7 @@
     if not due:
         return []
     due = _link_pacing.rotate(state, due)
-    due.sort(key=lambda name: not state.endpoints[name].placed)
+    due.sort(key=lambda name: not state.endpoints[name].attempts_in_flight)
     result: Effects = []
     for name in due[: _link_pacing.opening_capacity(state)]:
         endpoint = state.endpoints[name]
@@ -286,7 +288,7 @@
     Its sidecar waits for this before it exits: once the link is closed, no
     offer from this gateway can be in flight.
     """
-    if not endpoint.leaving or endpoint.placed:
+    if not endpoint.leaving or endpoint.attempts_in_flight:
         return []
     if endpoint.link is not _state.LinkPhase.OPEN:
         return []
--- a/berylhollow/gateway/_model_loads.py
+++ b/berylhollow/gateway/_model_loads.py
@@ -26,31 +26,31 @@
     before the first of them has reported.
     """
     endpoint = state.endpoints[name]
-    if not endpoint.usable:
+    if not endpoint.is_usable:
         return True
     service = endpoint.instance.service
     waiting = [
         (_load_sort_key(other, state.endpoints[other]), other)
         for other in state.model_loads.get(service, ())
-        if state.endpoints[other].usable
+        if state.endpoints[other].is_usable
     ]
     members = len(state.placement.names(service))
     at_once = max(1, members // ENDPOINTS_PER_LOAD)
     return name not in [other for _, other in sorted(waiting)[:at_once]]
 
 
-def note(state: _state.State, name: str) -> None:
+def update_from_report(state: _state.State, name: str) -> None:
     """Update the index of endpoints that need the store from a report."""
     endpoint = state.endpoints[name]
     service = endpoint.instance.service
     report = endpoint.report
     if report is None or report.model_load is messages.ModelLoad.NONE:
-        forget(state, name, service)
+        remove_endpoint(state, name, service)
     else:
         state.model_loads.setdefault(service, {})[name] = None
 
 
-def forget(state: _state.State, name: str, service: str) -> None:
+def remove_endpoint(state: _state.State, name: str, service: str) -> None:
     """Remove an endpoint from the index of those that need the store."""
     waiting = state.model_loads.get(service)
     if waiting is None:
--- a/berylhollow/gateway/_pages.py
+++ b/berylhollow/gateway/_pages.py
@@ -63,7 +63,9 @@
         """Readiness: required data was read and no stop was requested."""
         state = self.owner.driver.state
         now_ms = self.owner.driver.time.now_ms()
-        informed = state.informed and _workspaces.takes_keys(state, now_ms)
+        informed = state.has_required_data and _workspaces.should_accept_keys(
+            state, now_ms
+        )
         if informed and not self.owner.stopping:
             return _answers.json_response({'ready': True})
         return _answers.json_response({'ready': False}, SERVICE_UNAVAILABLE)
@@ -146,5 +148,5 @@
         'failure_domain': endpoint.instance.failure_domain,
         'link': endpoint.link.value,
         'leaving': endpoint.leaving,
-        'in_flight': len(endpoint.placed),
+        'in_flight': len(endpoint.attempts_in_flight),
     }
--- a/berylhollow/gateway/_pauses.py
+++ b/berylhollow/gateway/_pauses.py
@@ -18,9 +18,9 @@
     waits = []
     for name in state.placement.names(active.service):
         endpoint = state.endpoints[name]
-        if endpoint.usable_at(at_ms):
+        if endpoint.is_usable_at(at_ms):
             return 0
-        if endpoint.usable and endpoint.paused_until_ms > at_ms:
+        if endpoint.is_usable and endpoint.paused_until_ms > at_ms:
             waits.append(endpoint.paused_until_ms - at_ms)
     soonest_ms = min(waits, default=0)
     return soonest_ms + int(active.seed * JITTER_SHARE * soonest_ms)
--- a/berylhollow/gateway/_peers.py
+++ b/berylhollow/gateway/_peers.py
@@ -22,19 +22,19 @@
     """Open missing links to the chosen peers, within the limit."""
     result: Effects = []
     allowed = _link_pacing.opening_capacity(state)
-    for name in chosen(state):
+    for name in chosen_peers(state):
         if len(result) >= allowed:
             break
-        if name in state.peer_links or name in state.peers_opening:
+        if name in state.peer_links or name in state.peer_links_opening:
             continue
         if at_ms < state.peer_retry_at_ms.get(name, 0):
             continue
-        state.peers_opening.add(name)
+        state.peer_links_opening.add(name)
         result.append(effects.OpenLink(name, state.peers[name].address))
     return result
 
 
-def chosen(state: _state.State) -> list[str]:
+def chosen_peers(state: _state.State) -> list[str]:
     """Return the peers at distances 1, 2, 4 and so on, and claim leaders."""
     ring = sorted([state.options.instance, *state.peers], key=_ring_key)
     own = ring.index(state.options.instance)
@@ -48,7 +48,7 @@
 
 def opened(state: _state.State, event: events.LinkOpened) -> Effects:
     """Handle an open link to a peer, whichever end opened it."""
-    state.peers_opening.discard(event.peer)
+    state.peer_links_opening.discard(event.peer)
     state.peer_refusals.pop(event.peer, None)
     state.peer_links[event.peer] = event.incarnation
     return state.follower.handle(event)
@@ -56,7 +56,7 @@
 
 def refused(state: _state.State, event: events.LinkRefused) -> Effects:
     """Schedule a retry of the link, with a growing back-off."""
-    state.peers_opening.discard(event.peer)
+    state.peer_links_opening.discard(event.peer)
     refusals = state.peer_refusals.get(event.peer, 0) + 1
     state.peer_refusals[event.peer] = refusals
     pause_ms = _link_pacing.pause_ms(state, event.peer, refusals)
@@ -68,7 +68,7 @@
     """Handle a closed link; it is reopened after the first pause."""
     pause_ms = _link_pacing.first_pause_ms(state, event.peer)
     state.peer_retry_at_ms[event.peer] = event.at_ms + pause_ms
-    state.peers_opening.discard(event.peer)
+    state.peer_links_opening.discard(event.peer)
     state.peer_links.pop(event.peer, None)
     _claim_leader.link_closed(state, event)
     return state.follower.handle(event)
--- a/berylhollow/gateway/_placement.py
+++ b/berylhollow/gateway/_placement.py
@@ -97,7 +97,9 @@
             self._record_held(name, _ready_adapters(new))
             _insert(self.pending, name, _pending_adapters(new))
 
-    def held_lately(self, name: str, adapter: messages.AdapterVersion) -> bool:
+    def was_recently_held(
+        self, name: str, adapter: messages.AdapterVersion
+    ) -> bool:
         """Tell whether an endpoint was recently seen with an adapter."""
         return adapter in self.recently_held.get(name, ())
 
@@ -124,7 +126,7 @@
         expiries = self.expected_loads.setdefault(adapter, {})
         expiries[name] = at_ms + EXPECTED_LOAD_TTL_MS
 
-    def awaiting(
+    def endpoints_loading(
         self, adapter: messages.AdapterVersion, at_ms: int
     ) -> list[str]:
         """Return the endpoints that load the adapter or are expected to."""
--- a/berylhollow/gateway/_quarantine.py
+++ b/berylhollow/gateway/_quarantine.py
@@ -28,7 +28,7 @@
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> bool:
     """Tell whether a request may run only with no other beside it."""
-    return state.suspects.suspect(active.request.fingerprint, at_ms)
+    return state.suspects.is_suspect(active.request.fingerprint, at_ms)
 
 
 def crashed(state: _state.State, event: events.MessageReceived) -> Effects:
@@ -37,9 +37,9 @@
     crash = quarantine.Crash(
         message.crash_id, message.service, message.fingerprints
     )
-    if message.crash_id in state.crashes_told:
+    if message.crash_id in state.recorded_crashes_ms:
         return []
-    state.crashes_told[message.crash_id] = event.at_ms
+    state.recorded_crashes_ms[message.crash_id] = event.at_ms
     emitted = _record_crash(state, crash, event.at_ms)
     forwarded = [
         effects.Send(peer, message)
@@ -51,7 +51,7 @@
 
 def seen(state: _state.State, crash: quarantine.Crash, at_ms: int) -> Effects:
     """Record a crash that this gateway detected itself."""
-    state.crashes_told[crash.crash_id] = at_ms
+    state.recorded_crashes_ms[crash.crash_id] = at_ms
     return _record_crash(state, crash, at_ms)
 
 
@@ -66,14 +66,14 @@
     if at_ms < state.quarantine_read_at_ms:
         return []
     state.quarantine_read_at_ms = at_ms + state.options.quarantine_poll_ms
-    state.suspects.forget(at_ms)
+    state.suspects.forget_expired(at_ms)
     oldest_ms = at_ms - state.options.suspicion.suspect_ms
     recent = {
         crash_id: seen_ms
-        for crash_id, seen_ms in state.crashes_told.items()
+        for crash_id, seen_ms in state.recorded_crashes_ms.items()
         if seen_ms >= oldest_ms
     }
-    state.crashes_told = recent
+    state.recorded_crashes_ms = recent
     return [effects.ReadLog(quarantine.STREAM, state.quarantine_offset)]
 
 
@@ -109,9 +109,9 @@
         state.suspects.clear(record.fingerprint)
         fields = (('fingerprint', record.fingerprint),)
         return [effects.Log('quarantine lifted', fields)]
-    if record.crash_id in state.crashes_told:
+    if record.crash_id in state.recorded_crashes_ms:
         return []
-    state.crashes_told[record.crash_id] = at_ms
+    state.recorded_crashes_ms[record.crash_id] = at_ms
     return _record_crash(state, record, at_ms)
 
 
@@ -128,5 +128,5 @@
             ),
             warning=True,
         )
-        for fingerprint in state.suspects.crashed(crash, at_ms)
+        for fingerprint in state.suspects.count_crash(crash, at_ms)
     ]
--- a/berylhollow/gateway/_quotas.py
+++ b/berylhollow/gateway/_quotas.py
@@ -51,7 +51,7 @@
     """Count the tokens that a request asks for, admitted or not."""
     allowance = _get_or_add_allowance(state, workspace, at_ms)
     if allowance is not None:
-        allowance.ask(workspace.quota.cost(tokens), at_ms)
+        allowance.record_demand(workspace.quota.cost(tokens), at_ms)
 
 
 def reserve(
@@ -66,7 +66,9 @@
     allowance.spend(active.cost, at_ms)
 
 
-def over(state: _state.State, active: _state.ActiveRequest, at_ms: int) -> int:
+def retry_wait_ms(
+    state: _state.State, active: _state.ActiveRequest, at_ms: int
+) -> int:
     """Return how long another run of a request must wait for its quota.
 
     The reservation made on arrival covers the first run; each further run
@@ -78,7 +80,7 @@
     return wait_ms(state, active.workspace, tokens, at_ms)
 
 
-def sent_on(
+def charge_run(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> None:
     """Charge a request sent to an endpoint, reserving quota if needed."""
@@ -99,7 +101,7 @@
     active.reserved = False
     allowance = state.allowances.get(active.workspace.name)
     if allowance is not None:
-        allowance.give_back(active.cost)
+        allowance.refund(active.cost)
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
@@ -113,7 +115,7 @@
         return []
     _forget_undeclared(state)
     uses = tuple(
-        allowance.use(name, at_ms)
+        allowance.current_usage(name, at_ms)
         for name, allowance in sorted(state.allowances.items())
     )
     unchanged = uses == state.quota_uses_reported and books_unchanged
@@ -128,12 +130,12 @@
     state.quota_uses_reported_ms = at_ms
     for allowance in state.allowances.values():
         allowance.gateways = state.gateways
-        allowance.forget_stale(at_ms)
+        allowance.remove_stale_accounts(at_ms)
     report = messages.QuotaUses(uses)
     return emitted + [effects.Send(peer, report) for peer in books]
 
 
-def declared(state: _state.State, at_ms: int) -> None:
+def apply_configuration(state: _state.State, at_ms: int) -> None:
     """Apply the quotas of a configuration that has just come into force.
 
     All of them are reported to the books, so that the usage of others is
@@ -145,7 +147,7 @@
     ):
         allowance = _get_or_add_allowance(state, workspace, at_ms)
         if allowance is not None:
-            allowance.declare(workspace.quota)
+            allowance.set_quota(workspace.quota)
 
 
 def sums_received(
@@ -156,7 +158,7 @@
         allowance = state.allowances.get(quota_sum.workspace)
         if allowance is not None:
             draw = spread.fraction(state.seed, quota_sum.workspace)
-            allowance.heard(
+            allowance.update_totals(
                 event.peer, event.message.book, quota_sum, draw, event.at_ms
             )
     return []
@@ -191,7 +193,7 @@
         del state.allowances[name]
 
 
-def choose(state: _state.State) -> None:
+def choose_books(state: _state.State) -> None:
     """Choose the sidecars that keep books, among those linked now."""
     linked = [
         peer
--- a/berylhollow/gateway/_rate_limits.py
+++ b/berylhollow/gateway/_rate_limits.py
@@ -32,7 +32,7 @@
     if endpoint.notice.rate_per_s is None:
         return True
     name = endpoint.instance.instance
-    waiting = state.awaiting.get(name, {})
+    waiting = state.awaiting_adapter.get(name, {})
     ahead = len(waiting) - (active.request.request_id in waiting)
     return endpoint.loan.room(at_ms) > ahead
 
@@ -43,7 +43,7 @@
         endpoint.loan.spend(at_ms)
 
 
-def without_room(
+def endpoints_at_limit(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> list[_state.Endpoint]:
     """Return the endpoints ruled out for a request only by a rate limit."""
@@ -53,21 +53,21 @@
         if (
             endpoint is not None
             and endpoint.instance.service == active.service
-            and name not in active.tried
-            and endpoint.usable_at(at_ms)
+            and name not in active.tried_endpoints
+            and endpoint.is_usable_at(at_ms)
             and not has_room(state, active, endpoint, at_ms)
         ):
             limited.append(endpoint)
     return limited
 
 
-def missed(
+def request_loans(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> Effects:
     """Ask the lender of each endpoint whose rate limit rules it out."""
     emitted: Effects = []
-    for endpoint in without_room(state, active, at_ms):
-        endpoint.loan.miss(at_ms)
+    for endpoint in endpoints_at_limit(state, active, at_ms):
+        endpoint.loan.record_miss(at_ms)
         emitted += _request_loan(state, endpoint, at_ms)
     return emitted
 
@@ -85,7 +85,9 @@
         active.room_asked_ms = at_ms
     if at_ms - active.room_asked_ms >= rate_limits.ANSWER_MS:
         return False
-    return any(endpoint.loan.is_asked(at_ms) for endpoint in endpoints)
+    return any(
+        endpoint.loan.is_awaiting_answer(at_ms) for endpoint in endpoints
+    )
 
 
 def wait_ms(endpoints: list[_state.Endpoint], seed: float, at_ms: int) -> int:
@@ -117,7 +119,7 @@
             continue
         emitted += _choose_lender(endpoint, linked, at_ms)
         rate_per_s = endpoint.notice.rate_per_s
-        endpoint.loan.fill_own(rate_per_s, _gateway_count(state), at_ms)
+        endpoint.loan.fill_own_bucket(rate_per_s, _gateway_count(state), at_ms)
         emitted += _request_loan(state, endpoint, at_ms)
     return emitted
 
@@ -130,7 +132,7 @@
     endpoint = state.endpoints.get(message.endpoint)
     if endpoint is None or endpoint.loan.lender != event.peer:
         return []
-    endpoint.loan.lent(message.count, message.wait_ms, event.at_ms)
+    endpoint.loan.take_answer(message.count, message.wait_ms, event.at_ms)
     return [
         active
         for active in state.requests.values()
@@ -155,7 +157,7 @@
     lender = ''
     if not loan.lender or loan.lender in linked:
         lender = rendezvous.highest(name, linked) or ''
-    if not loan.choose(lender, at_ms):
+    if not loan.set_lender(lender, at_ms):
         return []
     fields = (('endpoint', name), ('lender', lender))
     return [effects.Log('lender of a rate limit chosen', fields)]
@@ -165,11 +167,13 @@
     state: _state.State, endpoint: _state.Endpoint, at_ms: int
 ) -> Effects:
     loan = endpoint.loan
-    if not loan.due(at_ms):
+    if not loan.should_ask(at_ms):
         return []
     rate_per_s = endpoint.notice.rate_per_s
     wanted = messages.RateWanted(
-        endpoint.instance.instance, rate_per_s, loan.ask(rate_per_s, at_ms)
+        endpoint.instance.instance,
+        rate_per_s,
+        loan.begin_asking(rate_per_s, at_ms),
     )
     return [effects.Send(loan.lender, wanted)]
 
--- a/berylhollow/gateway/_reducer.py
+++ b/berylhollow/gateway/_reducer.py
@@ -8,8 +8,8 @@
 from berylhollow.gateway import _attempts
 from berylhollow.gateway import _claim_leader
 from berylhollow.gateway import _claims
-from berylhollow.gateway import _coordinator
 from berylhollow.gateway import _counts
+from berylhollow.gateway import _load_coordinator
 from berylhollow.gateway import _membership
 from berylhollow.gateway import _notices
 from berylhollow.gateway import _peers
@@ -56,7 +56,7 @@
     emitted += _quarantine.tick(state, event.at_ms)
     emitted += _quotas.tick(state, event.at_ms)
     emitted += _rate_limits.tick(state, event.at_ms)
-    emitted += _coordinator.tick(state, event.at_ms)
+    emitted += _load_coordinator.tick(state, event.at_ms)
     emitted += _shutdown.tick(state, event.at_ms)
     return emitted
 
@@ -84,7 +84,7 @@
     endpoint = state.endpoints.get(event.peer)
     if endpoint is None or not endpoint.leaving:
         return emitted
-    for active in _adapters.waiting_at(state, event.peer):
+    for active in _adapters.requests_awaiting_adapter(state, event.peer):
         emitted += _attempts.place(state, active, event.at_ms)
     return emitted
 
@@ -157,7 +157,7 @@
 _HANDLERS = {
     events.Started: _started,
     events.Ticked: _ticked,
-    events.StopRequested: _shutdown.requested,
+    events.StopRequested: _shutdown.start_draining,
     events.InstancesListed: _membership.listed,
     events.LinkOpened: _link_opened,
     events.LinkRefused: _link_refused,
@@ -172,23 +172,23 @@
     events.LogRead: _log_read,
     events.LogReadFailed: _log_read_failed,
     events.LogChecked: _log_checked,
-    events.StreamPartRead: _shared_reads.has_read,
+    events.StreamPartRead: _shared_reads.relay_stream_part,
     events.Appended: _appended,
     events.AppendFailed: _append_failed,
 }
 
 _MESSAGES = {
-    messages.ClaimDecided: _claims.decided,
-    messages.ClaimsForwarded: _claim_leader.forwarded,
-    messages.ClaimsTaken: _claim_leader.confirmed,
+    messages.ClaimDecided: _claims.apply_verdict,
+    messages.ClaimsForwarded: _claim_leader.queue_forwarded_claims,
+    messages.ClaimsTaken: _claim_leader.handle_confirmation,
     messages.Crashed: _quarantine.crashed,
     messages.Report: _reported,
-    messages.StreamPart: _shared_reads.heard,
+    messages.StreamPart: _shared_reads.apply_stream_part,
     messages.QuotaSums: _quotas.sums_received,
     messages.RateLent: _rate_lent,
-    messages.LoadWanted: _coordinator.wanted,
-    messages.LoadEnded: _coordinator.ended,
-    messages.Started: _attempts.started,
+    messages.LoadWanted: _load_coordinator.wanted,
+    messages.LoadEnded: _load_coordinator.ended,
+    messages.Started: _attempts.begin_answer,
     messages.End: _attempts.ended,
     messages.Failed: _attempts.failed,
 }
--- a/berylhollow/gateway/_requests.py
+++ b/berylhollow/gateway/_requests.py
@@ -118,7 +118,7 @@
     if event.body is not None:
         stored = claims.StoredAnswer(event.status, event.headers, event.body)
     _settlement.settle(state, active, errors.Ran.RAN, stored)
-    _attempts.succeeded(state, active)
+    _attempts.record_success(state, active)
     return _attempts.finish(state, active)
 
 
@@ -136,7 +136,7 @@
     """End requests past their deadline, place those due for a retry."""
     emitted: Effects = []
     if _limits.remove_idle_callers(state, at_ms):
-        _budget.forget(state)
+        _budget.remove_unknown_callers(state)
     for active in list(state.requests.values()):
         if at_ms >= active.deadline_ms:
             emitted += _expire(state, active)
--- a/berylhollow/gateway/_routing.py
+++ b/berylhollow/gateway/_routing.py
@@ -5,7 +5,7 @@
 from berylhollow import policy
 
 
-def choose(
+def choose_endpoint(
     state: _state.State, active: _state.ActiveRequest, at_ms: int
 ) -> str | None:
     """Return the endpoint to offer a request to, None if there is none.
--- a/berylhollow/gateway/_settlement.py
+++ b/berylhollow/gateway/_settlement.py
@@ -24,7 +24,7 @@
     partition.queue.append(_state.QueuedEntry(entry))
 
 
-def unsettled(state: _state.State) -> bool:
+def has_unappended_entries(state: _state.State) -> bool:
     """Tell whether any entry is not known yet to be appended to the log."""
     return any(
         partition.queue or partition.appending
@@ -35,10 +35,10 @@
 def partition_of(state: _state.State, key: bytes) -> _state.Partition:
     """Return the partition of a key; a new one has an empty ledger."""
     number = claims.partition_of(key, state.options.claim_partitions)
-    return partition_numbered(state, number)
+    return partition_by_number(state, number)
 
 
-def partition_numbered(state: _state.State, number: int) -> _state.Partition:
+def partition_by_number(state: _state.State, number: int) -> _state.Partition:
     """Return the partition with a number, created at its first use."""
     partition = state.partitions.get(number)
     if partition is None:
@@ -49,7 +49,7 @@
     return partition
 
 
-def partition_with(
+def partition_by_stream(
     state: _state.State, stream: str
 ) -> _state.Partition | None:
     """Return the partition whose entries are in a stream, if in use."""
--- a/berylhollow/gateway/_shared_reads.py
+++ b/berylhollow/gateway/_shared_reads.py
@@ -25,7 +25,7 @@
     domain = state.options.failure_domain
     linked = [
         peer
-        for peer, name in state.beside.items()
+        for peer, name in state.endpoint_by_peer.items()
         if state.sidecars[peer].link is _state.LinkPhase.OPEN
         and state.endpoints[name].instance.failure_domain == domain
     ]
@@ -44,12 +44,16 @@
     return state.relays[:1] == (peer,)
 
 
-def has_read(state: _state.State, event: events.StreamPartRead) -> Effects:
+def relay_stream_part(
+    state: _state.State, event: events.StreamPartRead
+) -> Effects:
     """Send a part of a stream that was read here to the relays."""
     return [effects.Send(peer, event.part) for peer in state.relays]
 
 
-def heard(state: _state.State, event: events.MessageReceived) -> Effects:
+def apply_stream_part(
+    state: _state.State, event: events.MessageReceived
+) -> Effects:
     """Apply a part of a stream that another gateway has read.
 
     If it may concern endpoints, the instance list is read at once, not at
--- a/berylhollow/gateway/_shell.py
+++ b/berylhollow/gateway/_shell.py
@@ -291,12 +291,12 @@
         )
         self.count('berylhollow.errors', 1, attributes)
 
-    def noticed(
+    def notice_received(
         self, peer: str, sent_ms: int, notice: events.EndpointNotice
     ) -> None:
         self.feed(events.NoticeReceived(self.now_ms(), peer, sent_ms, notice))
 
-    def row_of(self, name: str) -> events.Instance | None:
+    def listed_instance(self, name: str) -> events.Instance | None:
         """Return the listed instance of an endpoint, None if unknown."""
         endpoint = self.driver.state.endpoints.get(name)
         return None if endpoint is None else endpoint.instance
@@ -361,7 +361,7 @@
     def _deliver(self, peer: str, message: messages.Message) -> None:
         """Send a message to a peer, over its link or as a direct run."""
         if self.runs is not None and self.runs.is_attempt_message(message):
-            self.runs.take(peer, message)
+            self.runs.handle_message(peer, message)
         else:
             self.links.send(peer, message)
 
--- a/berylhollow/gateway/_shutdown.py
+++ b/berylhollow/gateway/_shutdown.py
@@ -8,7 +8,9 @@
 Effects = list[effects.Effect]
 
 
-def requested(state: _state.State, event: events.StopRequested) -> Effects:
+def start_draining(
+    state: _state.State, event: events.StopRequested
+) -> Effects:
     """Start to drain: new requests are refused, those in flight finish."""
     if not state.stopping:
         state.stopping = True
@@ -25,7 +27,9 @@
     """
     if not state.stopping or state.exited:
         return []
-    has_work = bool(state.requests) or _settlement.unsettled(state)
+    has_work = bool(state.requests) or _settlement.has_unappended_entries(
+        state
+    )
     if has_work and at_ms < state.stop_by_ms:
         return []
     state.exited = True
--- a/berylhollow/gateway/_sidecars.py
+++ b/berylhollow/gateway/_sidecars.py
@@ -41,14 +41,14 @@
             )
             _add_sidecar(state, peer, instance)
     for peer, name in endpoint_of_peer.items():
-        if state.beside.get(peer) != name:
+        if state.endpoint_by_peer.get(peer) != name:
             # Resend the demand soon, for the endpoint that is there now.
             state.sidecars[peer].told_ms = clock.NEVER_MS
-    state.beside = endpoint_of_peer
+    state.endpoint_by_peer = endpoint_of_peer
     for peer, name in endpoint_of_peer.items():
         _apply_report(state, state.sidecars[peer], state.endpoints[name])
     _shared_reads.choose_relays(state)
-    _quotas.choose(state)
+    _quotas.choose_books(state)
 
 
 def tick(state: _state.State, at_ms: int) -> Effects:
@@ -57,7 +57,7 @@
     stalled = at_ms - state.ticked_ms >= STALL_THRESHOLD_MS
     state.ticked_ms = at_ms
     for peer, sidecar in list(state.sidecars.items()):
-        if peer not in state.beside:
+        if peer not in state.endpoint_by_peer:
             del state.sidecars[peer]
             result.append(effects.CloseLink(peer))
             continue
@@ -93,9 +93,9 @@
     sidecar.link = _state.LinkPhase.OPEN
     sidecar.refusals = 0
     result = [effects.Log('sidecar linked', (('peer', event.peer),))]
-    result += _adapters.tell(state, event.peer, event.at_ms)
+    result += _adapters.send_demands(state, event.peer, event.at_ms)
     _shared_reads.choose_relays(state)
-    _quotas.choose(state)
+    _quotas.choose_books(state)
     return result
 
 
@@ -107,13 +107,13 @@
     was_open = sidecar.link is _state.LinkPhase.OPEN
     sidecar.link = _state.LinkPhase.CLOSED
     _shared_reads.choose_relays(state)
-    _quotas.choose(state)
+    _quotas.choose_books(state)
     sidecar.report = None
     sidecar.told_tokens = 0
     sidecar.refusals += 1
     pause_ms = _link_pacing.pause_ms(state, event.peer, sidecar.refusals)
     sidecar.retry_at_ms = event.at_ms + pause_ms
-    name = state.beside.get(event.peer)
+    name = state.endpoint_by_peer.get(event.peer)
     if name is not None:
         # Without reports, what other gateways have waiting there is outdated.
         state.endpoints[name].others_tokens = 0
@@ -137,8 +137,10 @@
     state.gateways = max(
         report.gateways for report in reports if report is not None
     )
-    state.told_revision = max(state.told_revision or 0, event.message.revision)
-    name = state.beside.get(event.peer)
+    state.newest_known_revision = max(
+        state.newest_known_revision or 0, event.message.revision
+    )
+    name = state.endpoint_by_peer.get(event.peer)
     if name is None:
         return []
     endpoint = state.endpoints[name]
@@ -150,12 +152,12 @@
     _apply_report(state, sidecar, endpoint)
     if before is None or before.model_load is not event.message.model_load:
         _schedule_demand(state, endpoint.instance.service)
-    return _adapters.waiting_at(state, name)
+    return _adapters.requests_awaiting_adapter(state, name)
 
 
 def _schedule_demand(state: _state.State, service: str) -> None:
     """Make the demand due to be sent to the sidecars of a service."""
-    for peer, name in state.beside.items():
+    for peer, name in state.endpoint_by_peer.items():
         if state.endpoints[name].instance.service == service:
             state.sidecars[peer].told_ms = clock.NEVER_MS
 
@@ -167,9 +169,9 @@
 
 def _prefer_usable(state: _state.State, other: str | None, name: str) -> str:
     """Return the usable one of two endpoints at one address, or the later."""
-    if other is None or not state.endpoints[other].usable:
+    if other is None or not state.endpoints[other].is_usable:
         return name
-    return name if state.endpoints[name].usable else other
+    return name if state.endpoints[name].is_usable else other
 
 
 def _add_sidecar(
@@ -198,10 +200,10 @@
         report = _report_from_list(endpoint.instance)
     if report == endpoint.report:
         return
-    endpoint.placed_at_report = len(endpoint.placed)
+    endpoint.in_flight_at_report = len(endpoint.attempts_in_flight)
     state.placement.replace(name, endpoint.report, report)
     endpoint.report = report
-    _model_loads.note(state, name)
+    _model_loads.update_from_report(state, name)
 
 
 def _is_report_of(report: messages.Report, instance: events.Instance) -> bool:
@@ -235,7 +237,9 @@
 
 def forget(state: _state.State, name: str) -> None:
     """Forget an endpoint that is gone, and which requests wait there."""
-    state.awaiting.pop(name, None)
-    state.beside = {
-        peer: other for peer, other in state.beside.items() if other != name
+    state.awaiting_adapter.pop(name, None)
+    state.endpoint_by_peer = {
+        peer: other
+        for peer, other in state.endpoint_by_peer.items()
+        if other != name
     }
--- a/berylhollow/gateway/_state.py
+++ b/berylhollow/gateway/_state.py
@@ -37,13 +37,13 @@
 class Endpoint:
     """An endpoint, as known from the instance list, reports and answers.
 
-    ``placed`` has the ids of this gateway's attempts in flight there; it is
-    exact, while reports lag. ``placed_at_report`` is how many there were when
-    the last report came. ``waiting_tokens`` counts the prompt tokens of this
-    gateway's requests there whose answers have not begun or that wait for
-    their adapter; ``others_tokens`` counts those of other gateways, as of the
-    last report. ``lost`` maps the fingerprints of requests whose run there
-    was interrupted to the time of it.
+    ``attempts_in_flight`` has the ids of this gateway's attempts in flight
+    there; it is exact, while reports lag. ``in_flight_at_report`` is how many
+    there were when the last report came. ``waiting_tokens`` counts the prompt
+    tokens of this gateway's requests there whose answers have not begun or
+    that wait for their adapter; ``others_tokens`` counts those of other
+    gateways, as of the last report. ``lost`` maps the fingerprints of requests
+    whose run there was interrupted to the time of it.
 
     ``notice`` is the newest one in an answer, to a request that was sent at
     ``notice_sent_ms``. ``loan`` is what this gateway may send while the
@@ -60,14 +60,14 @@
     incarnation: str = ''
     report: messages.Report | None = None
     report_at_ms: int = 0
-    placed_at_report: int = 0
+    in_flight_at_report: int = 0
     leaving: bool = False
     listed: bool = True
     superseded: bool = False
     retry_link_at_ms: int = 0
     refusals: int = 0
     link_address: str = ''
-    placed: set[str] = dataclasses.field(default_factory=set)
+    attempts_in_flight: set[str] = dataclasses.field(default_factory=set)
     waiting_tokens: int = 0
     others_tokens: int = 0
     lost: dict[str, int] = dataclasses.field(default_factory=dict)
@@ -82,19 +82,19 @@
     )
 
     @property
-    def moved(self) -> bool:
+    def has_moved(self) -> bool:
         """Whether the link goes to an address other than the listed one."""
         return self.link_address != self.instance.address
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether it takes requests, apart from ejection and pauses."""
         if self.instance.direct:
             return self.listed and not (self.leaving or self.superseded)
         return self.link is LinkPhase.OPEN and not self.leaving
 
     @property
-    def equipped(self) -> bool:
+    def has_model(self) -> bool:
         """Whether the endpoint holds its model, as far as is known.
 
         A new incarnation of a direct endpoint holds none until its sidecar
@@ -104,10 +104,10 @@
             return True
         return self.report.ready
 
-    def usable_at(self, at_ms: int) -> bool:
+    def is_usable_at(self, at_ms: int) -> bool:
         """Tell whether the endpoint is usable, not ejected and not paused."""
         resumes_ms = max(self.ejected_until_ms, self.paused_until_ms)
-        return self.usable and at_ms >= resumes_ms
+        return self.is_usable and at_ms >= resumes_ms
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -203,9 +203,9 @@
     room_asked_ms: int | None = None
     resumed: bool = False
     retry_at_ms: int | None = None
-    tried: set[str] = dataclasses.field(default_factory=set)
+    tried_endpoints: set[str] = dataclasses.field(default_factory=set)
     may_have_run: bool = False
-    lost_once: bool = False
+    used_free_retry: bool = False
     isolated: bool = False
     last_refusal: messages.Failed | None = None
     key: bytes = b''
@@ -258,7 +258,7 @@
     queue: list[QueuedEntry] = dataclasses.field(default_factory=list)
     appending: list[QueuedEntry] = dataclasses.field(default_factory=list)
     leader: str = ''
-    taken_by_ms: int = 0
+    forward_deadline_ms: int = 0
     direct_until_ms: int = 0
     append_id: str = ''
     append_from_ms: int = 0
@@ -267,7 +267,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Wish:
+class WantedLoad:
     """The load that a sidecar wants most, received at ``at_ms``."""
 
     message: messages.LoadWanted
@@ -284,16 +284,18 @@
 
 
 @dataclasses.dataclass(slots=True)
-class LoadBook:
+class LoadCoordination:
     """State of a gateway that coordinates loads from the weight store.
 
-    ``wishes`` has one entry per sidecar. ``granted`` counts the permits, which
-    it also numbers; ``load_ms`` is the smoothed duration of a load.
+    ``wanted_loads`` has one entry per sidecar. ``granted`` counts the permits,
+    which it also numbers; ``load_ms`` is the smoothed duration of a load.
     """
 
     rate: token_bucket.TokenBucket
     load_ms: float
-    wishes: dict[str, Wish] = dataclasses.field(default_factory=dict)
+    wanted_loads: dict[str, WantedLoad] = dataclasses.field(
+        default_factory=dict
+    )
     permits: dict[int, Permit] = dataclasses.field(default_factory=dict)
     granted: int = 0
 
@@ -302,19 +304,19 @@
 class State:
     """The whole state of a gateway's reducer.
 
-    ``sidecars`` are those of direct endpoints, by peer name; ``beside`` maps a
-    peer name to the endpoint that is listed there now. ``awaiting`` has, by
-    endpoint, the requests that wait for an adapter there; ``model_loads``
-    has, by service, the endpoints that need their model from the weight
-    store. ``relays`` are the sidecars that pass on what this gateway reads of
-    the platform's log; the first of them also sends it what others read.
-    ``gateways`` is the number of gateways, as far as is known. ``token_ms`` is
-    the time to process one prompt token, by service.
+    ``sidecars`` are those of direct endpoints, by peer name;
+    ``endpoint_by_peer`` maps a peer name to the endpoint that is listed there
+    now. ``awaiting_adapter`` has, by endpoint, the requests that wait for an
+    adapter there; ``model_loads`` has, by service, the endpoints that need
+    their model from the weight store. ``relays`` are the sidecars that pass on
+    what this gateway reads of the platform's log; the first of them also sends
+    it what others read. ``gateways`` is the number of gateways, as far as is
+    known. ``token_ms`` is the time to process one prompt token, by service.
 
     ``rate_limited`` has the endpoints with a rate limit, ``absent_notices``
     the notices of endpoints that left the list. ``listed_ms`` is when the
-    instance list in use was received. ``told_revision`` is the newest
-    configuration revision that any gateway is known to have had,
+    instance list in use was received. ``newest_known_revision`` is the
+    newest configuration revision that any gateway is known to have had,
     ``started_ms`` when this gateway started.
 
     ``allowances`` has what this gateway may use of each workspace's quota,
@@ -326,7 +328,7 @@
     incarnation: str = ''
     started_ms: int = 0
     settled_ms: int = 0
-    told_revision: int | None = None
+    newest_known_revision: int | None = None
     allowances: dict[str, workspaces.Allowance] = dataclasses.field(
         default_factory=dict
     )
@@ -338,8 +340,8 @@
     )
     endpoints: dict[str, Endpoint] = dataclasses.field(default_factory=dict)
     sidecars: dict[str, Sidecar] = dataclasses.field(default_factory=dict)
-    beside: dict[str, str] = dataclasses.field(default_factory=dict)
-    awaiting: dict[str, dict[str, None]] = dataclasses.field(
+    endpoint_by_peer: dict[str, str] = dataclasses.field(default_factory=dict)
+    awaiting_adapter: dict[str, dict[str, None]] = dataclasses.field(
         default_factory=dict
     )
     model_loads: dict[str, dict[str, None]] = dataclasses.field(
@@ -369,11 +371,13 @@
         dataclasses.field(default_factory=dict)
     )
     suspects: quarantine.Suspects = dataclasses.field(init=False)
-    crashes_told: dict[str, int] = dataclasses.field(default_factory=dict)
+    recorded_crashes_ms: dict[str, int] = dataclasses.field(
+        default_factory=dict
+    )
     quarantine_offset: int = 0
     quarantine_read_at_ms: int = 0
     peer_links: dict[str, str] = dataclasses.field(default_factory=dict)
-    peers_opening: set[str] = dataclasses.field(default_factory=set)
+    peer_links_opening: set[str] = dataclasses.field(default_factory=set)
     peer_retry_at_ms: dict[str, int] = dataclasses.field(default_factory=dict)
     peer_refusals: dict[str, int] = dataclasses.field(default_factory=dict)
     seed: float = 0.5
@@ -384,7 +388,7 @@
         default_factory=_placement.Placement
     )
     adapter_policy: policy.Policy = dataclasses.field(init=False)
-    load_book: LoadBook = dataclasses.field(init=False)
+    load_book: LoadCoordination = dataclasses.field(init=False)
     ticked_ms: int = 0
     instances_read_ms: int = clock.NEVER_MS
     listed_ms: int = clock.NEVER_MS
@@ -395,7 +399,7 @@
     def __post_init__(self):
         self.suspects = quarantine.Suspects(self.options.suspicion)
         self.adapter_policy = policy.named(self.options.policy)
-        self.load_book = LoadBook(
+        self.load_book = LoadCoordination(
             token_bucket.TokenBucket(
                 self.options.loads_per_s, self.options.loads_burst
             ),
@@ -403,7 +407,7 @@
         )
 
     @property
-    def informed(self) -> bool:
+    def has_required_data(self) -> bool:
         """Whether the gateway has the data it needs to serve callers."""
         if self.follower.current is None:
             return False
--- a/berylhollow/gateway/_workspaces.py
+++ b/berylhollow/gateway/_workspaces.py
@@ -72,13 +72,13 @@
     """
     if not state.follower.keys_hold(at_ms):
         return False
-    if state.told_revision is None:
+    if state.newest_known_revision is None:
         listening_ms = at_ms - state.started_ms
         return listening_ms >= state.options.neighbours_ms
-    return state.follower.current.revision >= state.told_revision
+    return state.follower.current.revision >= state.newest_known_revision
 
 
-def takes_keys(state: _state.State, at_ms: int) -> bool:
+def should_accept_keys(state: _state.State, at_ms: int) -> bool:
     """Tell whether callers with keys should be sent to this gateway.
 
     No longer so some time before the proof of the keys expires: the balancer
--- a/berylhollow/quarantine/_suspects.py
+++ b/berylhollow/quarantine/_suspects.py
@@ -43,7 +43,7 @@
     rules: Rules
     suspicions: dict[str, Suspicion] = dataclasses.field(default_factory=dict)
 
-    def crashed(self, crash: _records.Crash, at_ms: int) -> list[str]:
+    def count_crash(self, crash: _records.Crash, at_ms: int) -> list[str]:
         """Count a crash; return the fingerprints that it quarantines."""
         ran_alone = len(crash.fingerprints) == 1
         quarantined = []
@@ -53,7 +53,7 @@
         self._enforce_limit()
         return quarantined
 
-    def suspect(self, fingerprint: str, at_ms: int) -> bool:
+    def is_suspect(self, fingerprint: str, at_ms: int) -> bool:
         """Tell whether the request is suspect and must run alone."""
         suspicion = self.suspicions.get(fingerprint)
         return suspicion is not None and at_ms < suspicion.forget_at_ms
@@ -69,7 +69,7 @@
         """Drop a suspicion, disproved by a run alone or lifted."""
         self.suspicions.pop(fingerprint, None)
 
-    def forget(self, at_ms: int) -> None:
+    def forget_expired(self, at_ms: int) -> None:
         """Drop the suspicions that have expired."""
         expired = [
             fingerprint
--- a/berylhollow/rate_limits/_loan.py
+++ b/berylhollow/rate_limits/_loan.py
@@ -64,12 +64,12 @@
         else:
             self.own_level = max(0.0, self.own_level - 1)
 
-    def miss(self, at_ms: int) -> None:
+    def record_miss(self, at_ms: int) -> None:
         """Count a request that could not be sent for lack of room."""
         self.missed_count += 1
         self.missed_ms = at_ms
 
-    def choose(self, lender: str, at_ms: int) -> bool:
+    def set_lender(self, lender: str, at_ms: int) -> bool:
         """Set the lender and tell whether it changed.
 
         After a lender was lost, another one is taken only after
@@ -87,13 +87,15 @@
         self.retry_ms = at_ms
         return True
 
-    def due(self, at_ms: int) -> bool:
+    def should_ask(self, at_ms: int) -> bool:
         """Tell whether the lender should be asked now."""
         if not self.lender or at_ms < self.retry_ms or self.room(at_ms):
             return False
-        return not self.is_asked(at_ms) and self.has_recent_miss(at_ms)
+        return not self.is_awaiting_answer(at_ms) and self.has_recent_miss(
+            at_ms
+        )
 
-    def is_asked(self, at_ms: int) -> bool:
+    def is_awaiting_answer(self, at_ms: int) -> bool:
         """Tell whether the lender's answer may still arrive."""
         asked_ms = self.asked_ms
         return asked_ms is not None and at_ms - asked_ms < ANSWER_MS
@@ -102,7 +104,7 @@
         """Tell whether requests could not be sent recently."""
         return self.missed_count > 0 and at_ms - self.missed_ms < MISSED_MS
 
-    def ask(self, rate_per_s: float, at_ms: int) -> int:
+    def begin_asking(self, rate_per_s: float, at_ms: int) -> int:
         """Return how many requests to ask for, and note that it is asked."""
         limit = math.ceil(_bounds.capacity(rate_per_s))
         wanted = min(max(1, self.missed_count), limit)
@@ -110,9 +112,9 @@
         self.asked_ms = at_ms
         return wanted
 
-    def lent(self, count: int, wait_ms: int, at_ms: int) -> None:
+    def take_answer(self, count: int, wait_ms: int, at_ms: int) -> None:
         """Take the lender's answer; one that arrives too late is dropped."""
-        if not self.is_asked(at_ms):
+        if not self.is_awaiting_answer(at_ms):
             return
         if count:
             self.lent_count = count
@@ -124,7 +126,9 @@
         """Return the estimated time until a request may be sent."""
         return max(MIN_WAIT_MS, self.retry_ms - at_ms)
 
-    def fill_own(self, rate_per_s: float, gateways: int, at_ms: int) -> None:
+    def fill_own_bucket(
+        self, rate_per_s: float, gateways: int, at_ms: int
+    ) -> None:
         """Fill the own bucket with an equal part of the rate.
 
         Only while there is no lender, and only if there are so few gateways
--- a/berylhollow/sidecar/_isolation.py
+++ b/berylhollow/sidecar/_isolation.py
@@ -31,7 +31,7 @@
         )
     )
     crash = quarantine.Crash(crash_id, state.options.service, fingerprints)
-    state.suspects.crashed(crash, at_ms)
+    state.suspects.count_crash(crash, at_ms)
     message = messages.Crashed(crash_id, state.options.service, fingerprints)
     done: Effects = [effects.Send(peer, message) for peer in state.links]
     append_id = f'{state.incarnation}/crash/{crash_id}'
@@ -54,7 +54,7 @@
     state: _state.State, offer: messages.Offer, at_ms: int
 ) -> bool:
     """Tell whether an offer must run with nothing beside it."""
-    own = state.suspects.suspect(offer.fingerprint, at_ms)
+    own = state.suspects.is_suspect(offer.fingerprint, at_ms)
     return offer.isolate or own
 
 
--- a/berylhollow/workspaces/_allowance.py
+++ b/berylhollow/workspaces/_allowance.py
@@ -142,7 +142,7 @@
         tolerated = self.tolerance.allowed_excess(self.quota)
         return self.quota.capacity + BURST_SHARE * tolerated
 
-    def declare(self, quota: _types.Quota) -> None:
+    def set_quota(self, quota: _types.Quota) -> None:
         """Set a changed quota; cut debt under the old one to one second."""
         if quota == self.quota:
             return
@@ -151,7 +151,7 @@
             lowest = -quota.rate_per_s
             account.level = max(lowest, min(account.level, self.capacity))
 
-    def ask(self, cost: int, at_ms: int) -> None:
+    def record_demand(self, cost: int, at_ms: int) -> None:
         """Count a request as demand, whether it is let through or not."""
         self.demand_rate = self._decayed_demand(at_ms)
         per_s = clock.MS_PER_SECOND / DEMAND_HALF_LIFE_MS
@@ -193,18 +193,18 @@
             self.no_book_level -= cost
         self.spent += cost
 
-    def give_back(self, cost: int) -> None:
+    def refund(self, cost: int) -> None:
         """Refund the cost of a request that provably did not run."""
         self.spent -= cost
         self.no_book_level += cost
 
-    def use(self, workspace: str, at_ms: int) -> _book.Use:
+    def current_usage(self, workspace: str, at_ms: int) -> _book.Use:
         """Return the usage to report to books."""
         return _book.Use(
             workspace, self.spent, int(self._decayed_demand(at_ms))
         )
 
-    def heard(
+    def update_totals(
         self,
         peer: str,
         book: str,
@@ -223,7 +223,7 @@
         self.accounts[peer] = _Account(book, totals, level, at_ms)
         self.random_draw = random_draw
 
-    def forget_stale(self, at_ms: int) -> None:
+    def remove_stale_accounts(self, at_ms: int) -> None:
         """Remove the accounts of books that no longer send updates."""
         self.accounts = {
             peer: account
--- a/test/hosted/direct_helper.py
+++ b/test/hosted/direct_helper.py
@@ -86,7 +86,7 @@
         return builders.offer(f'r{number}.1', **(values | changes))
 
     def send(self, **changes):
-        self.runs.take(ENDPOINT, self.offer(**changes))
+        self.runs.handle_message(ENDPOINT, self.offer(**changes))
 
     async def next(self):
         async with asyncio.timeout(HANG_S):
@@ -104,11 +104,11 @@
     def message(self, peer, message):
         self.told.put_nowait(message)
 
-    def noticed(self, peer, sent_ms, notice):
+    def notice_received(self, peer, sent_ms, notice):
         self.notices.append(notice)
 
     def now_ms(self):
         return 0
 
-    def row_of(self, name):
+    def listed_instance(self, name):
         return builders.instance(name, address=self.address, direct=True)
--- a/test/hosted/store_cut.py
+++ b/test/hosted/store_cut.py
@@ -179,7 +179,7 @@
             self._resume()
             if now_ms % TICK_MS == 0:
                 self._feed(events.Ticked(now_ms))
-            if now_ms % REQUEST_MS == 0 and self.state.informed:
+            if now_ms % REQUEST_MS == 0 and self.state.has_required_data:
                 self._ask(now_ms)
 
     def offered_to(self, name, from_ms):
--- a/test/hosted/test_crowd.py
+++ b/test/hosted/test_crowd.py
@@ -46,7 +46,7 @@
 
         Buys seven requests in a hundred that are answered on time.
         """
-        with mock.patch.object(_adapters, '_tell_soon', autospec=True):
+        with mock.patch.object(_adapters, '_report_use_change', autospec=True):
             unheard = outcomes()
         self.assertGreater(timely(as_shipped()), timely(unheard) + 0.03)
 
--- a/test/hosted/test_direct_runs.py
+++ b/test/hosted/test_direct_runs.py
@@ -209,7 +209,7 @@
         async with asyncio.timeout(direct_helper.HANG_S):
             while not self.endpoint.ran:
                 await asyncio.sleep(0.001)
-            self.runs.take('i-1', messages.Cancel('r1.1'))
+            self.runs.handle_message('i-1', messages.Cancel('r1.1'))
             while not self.endpoint.gone:
                 await asyncio.sleep(0.001)
         self.assertEqual(['id-1'], self.endpoint.gone)
--- a/test/hosted/test_fleet.py
+++ b/test/hosted/test_fleet.py
@@ -47,7 +47,7 @@
 
     def test_only_some_are_compared(self):
         found = self.holders()
-        self.assertEqual(_fleet.HOLDERS, len(set(found)))
+        self.assertEqual(_fleet.MAX_HOLDERS_COMPARED, len(set(found)))
 
     def test_the_only_one_left_is_found(self):
         self.show(leaving=set(range(MANY)) - {77})
@@ -79,4 +79,4 @@
         active = crowd.waiting_request('r1', '', seed)
         active.service = builders.PLAIN_SERVICE
         active.request = dataclasses.replace(active.request, adapter=None)
-        return _routing.choose(self.state, active, 0)
+        return _routing.choose_endpoint(self.state, active, 0)
--- a/test/hosted/test_gateway_direct.py
+++ b/test/hosted/test_gateway_direct.py
@@ -492,9 +492,9 @@
 
 class ReadinessTest(DirectTestCase):
     def test_gateway_is_not_informed_before_the_list_is_read(self):
-        self.assertFalse(self.state.informed)
+        self.assertFalse(self.state.has_required_data)
         self.list(plain('i-1', '10.0.0.1:80'))
-        self.assertTrue(self.state.informed)
+        self.assertTrue(self.state.has_required_data)
 
 
 class CrashTest(DirectTestCase):
--- a/test/hosted/test_restarts.py
+++ b/test/hosted/test_restarts.py
@@ -63,7 +63,7 @@
                 at_ms=100 * number + 2,
             )
         self.list(plain(FIRST_MS + 2), at_ms=300)
-        self.assertEqual(2, len(self.state.crashes_told))
+        self.assertEqual(2, len(self.state.recorded_crashes_ms))
 
     def test_adapters_of_before_are_not_believed(self):
         """The list names the new start; what the old one held is gone."""
--- a/test/test_gateway_limits.py
+++ b/test/test_gateway_limits.py
@@ -191,7 +191,7 @@
         self.assertTrue(self.state.endpoints[faulty].ejected_until_ms)
         self.assertNotEqual(faulty, send.peer)
         self.feed(events.Ticked(10_000))
-        self.assertTrue(self.state.endpoints[faulty].usable_at(10_000))
+        self.assertTrue(self.state.endpoints[faulty].is_usable_at(10_000))
 
     def test_at_most_half_of_the_endpoints_are_ejected(self):
         self.start(eject_failures=1, attempts=1)
@@ -201,6 +201,6 @@
         ejected = [
             endpoint
             for endpoint in self.state.endpoints.values()
-            if not endpoint.usable_at(0)
+            if not endpoint.is_usable_at(0)
         ]
         self.assertEqual(1, len(ejected))
--- a/test/test_gateway_link_pacing.py
+++ b/test/test_gateway_link_pacing.py
@@ -162,10 +162,10 @@
         (effect,) = self.of_type(effects.OpenLink)
         self.assertEqual('127.0.0.1:moved', effect.address)
         self.open_link('e0', ENDPOINT, 110, 'i2')
-        self.assertTrue(self.state.endpoints['e0'].usable)
+        self.assertTrue(self.state.endpoints['e0'].is_usable)
 
     def test_a_link_opening_to_the_old_address_gets_no_work(self):
         self.start()
         self.move()
         self.open_link('e0', ENDPOINT)
-        self.assertFalse(self.state.endpoints['e0'].usable)
+        self.assertFalse(self.state.endpoints['e0'].is_usable)
--- a/test/test_gateway_peers.py
+++ b/test/test_gateway_peers.py
@@ -38,7 +38,7 @@
         links = collections.defaultdict(set)
         for state in states(count, peer_fanout=4):
             name = state.options.instance
-            for peer in _peers.chosen(state):
+            for peer in _peers.chosen_peers(state):
                 links[name].add(peer)
                 links[peer].add(name)
         self.assertLessEqual(max(map(len, links.values())), 8)
--- a/test/test_quarantine.py
+++ b/test/test_quarantine.py
@@ -192,16 +192,18 @@
     def test_repeated_quarantine_lasts_longer(self):
         suspects = quarantine.Suspects(quarantine.Rules(quarantine_ms=100))
         for crash_id, at_ms in (('c1', 0), ('c2', 0), ('c3', 150)):
-            suspects.crashed(quarantine.Crash(crash_id, 's', ('f',)), at_ms)
+            suspects.count_crash(
+                quarantine.Crash(crash_id, 's', ('f',)), at_ms
+            )
         self.assertEqual(200, suspects.quarantined_ms('f', 150))
 
     def test_request_beside_few_crashes_is_not_quarantined(self):
         suspects = quarantine.Suspects(quarantine.Rules(crashes=3))
         for number in range(2):
             record = quarantine.Crash(f'c{number}', 's', ('f', 'g'))
-            self.assertEqual([], suspects.crashed(record, 0))
+            self.assertEqual([], suspects.count_crash(record, 0))
         record = quarantine.Crash('c9', 's', ('f', 'h'))
-        self.assertEqual(['f'], suspects.crashed(record, 0))
+        self.assertEqual(['f'], suspects.count_crash(record, 0))
 
     def test_suspicions_are_bounded_and_forgotten(self):
         suspects = quarantine.Suspects(
@@ -209,9 +211,11 @@
         )
         for number in range(30):
             prints = (f'f{number}', f'g{number}')
-            suspects.crashed(quarantine.Crash(f'c{number}', 's', prints), 0)
+            suspects.count_crash(
+                quarantine.Crash(f'c{number}', 's', prints), 0
+            )
         self.assertEqual(10, len(suspects.suspicions))
-        suspects.forget(100)
+        suspects.forget_expired(100)
         self.assertEqual({}, suspects.suspicions)
 
     def test_garbage_is_a_typed_error(self):
--- a/test/test_rate_loans.py
+++ b/test/test_rate_loans.py
@@ -43,44 +43,44 @@
 class LoanTest(unittest.TestCase):
     def setUp(self):
         self.loan = rate_limits.Loan()
-        self.loan.choose('s1', 0)
+        self.loan.set_lender('s1', 0)
 
     def ask(self, at_ms):
-        self.loan.miss(at_ms)
-        if self.loan.due(at_ms):
-            self.loan.ask(2.0, at_ms)
+        self.loan.record_miss(at_ms)
+        if self.loan.should_ask(at_ms):
+            self.loan.begin_asking(2.0, at_ms)
 
     def test_loan_expires(self):
         """Guards against loans that are saved up and used all at once."""
         self.ask(0)
-        self.loan.lent(1, 0, 10)
+        self.loan.take_answer(1, 0, 10)
         self.assertEqual(1, self.loan.room(900))
         self.assertEqual(0, self.loan.room(1000))
 
     def test_answer_of_a_former_lender_is_ignored(self):
         """Guards against two lenders that lend for the same time."""
         self.ask(0)
-        self.loan.choose('', 5)
-        self.loan.choose('s2', 2000)
-        self.loan.lent(1, 0, 2001)
+        self.loan.set_lender('', 5)
+        self.loan.set_lender('s2', 2000)
+        self.loan.take_answer(1, 0, 2001)
         self.assertEqual(0, self.loan.room(2001))
 
     def test_another_lender_is_asked_only_after_a_pause(self):
-        self.loan.choose('', 100)
-        self.assertFalse(self.loan.choose('s2', 1000))
-        self.assertTrue(self.loan.choose('s2', 1700))
+        self.loan.set_lender('', 100)
+        self.assertFalse(self.loan.set_lender('s2', 1000))
+        self.assertTrue(self.loan.set_lender('s2', 1700))
 
     def test_answer_is_not_awaited_for_long(self):
         self.ask(0)
-        self.assertTrue(self.loan.is_asked(100))
-        self.assertFalse(self.loan.is_asked(300))
+        self.assertTrue(self.loan.is_awaiting_answer(100))
+        self.assertFalse(self.loan.is_awaiting_answer(300))
 
     def test_without_a_lender_few_gateways_use_equal_parts(self):
         for gateways, room in ((4, 1), (100, 0)):
             with self.subTest(gateways=gateways):
                 loan = rate_limits.Loan()
                 for at_ms in range(0, 5000, 50):
-                    loan.fill_own(1.0, gateways, at_ms)
+                    loan.fill_own_bucket(1.0, gateways, at_ms)
                 self.assertEqual(room, loan.room(5000))
 
 
@@ -108,8 +108,8 @@
                 lenders[lender] = rate_limits.Lender()
             for loan in loans:
                 if loan.lender != str(lender):
-                    loan.choose('', at_ms)
-                    loan.choose(str(lender), at_ms)
+                    loan.set_lender('', at_ms)
+                    loan.set_lender(str(lender), at_ms)
                 if rng.random() < 0.1:
                     self.ask(loan, lenders[lender], rate_per_s, at_ms)
                 if loan.room(at_ms) and rng.random() < 0.3:
@@ -120,9 +120,9 @@
 
     def ask(self, loan, lender, rate_per_s, at_ms):
         for _ in range(3):
-            loan.miss(at_ms)
-        if loan.due(at_ms):
-            wanted = loan.ask(rate_per_s, at_ms)
+            loan.record_miss(at_ms)
+        if loan.should_ask(at_ms):
+            wanted = loan.begin_asking(rate_per_s, at_ms)
             name = str(id(loan))
             lent = lender.lend(name, ENDPOINT, rate_per_s, wanted, at_ms)
-            loan.lent(lent.count, lent.wait_ms, at_ms)
+            loan.take_answer(lent.count, lent.wait_ms, at_ms)
--- a/test/workspaces/test_allowance.py
+++ b/test/workspaces/test_allowance.py
@@ -168,15 +168,15 @@
 
     def update(self, spent, own_spent=0, at_ms=0, book='b', asked=0):
         totals = workspaces.Sum('w', spent, asked, own_spent, 0)
-        self.allowance.heard('s', book, totals, 0.99, at_ms)
+        self.allowance.update_totals('s', book, totals, 0.99, at_ms)
 
     def test_request_that_did_not_run_is_given_back(self):
         self.update(0)
         self.update(0, at_ms=1000)
         self.allowance.spend(1000, 1000)
         self.assertGreater(self.allowance.wait_ms(1000, 1000), 0)
-        self.allowance.give_back(1000)
-        self.assertEqual(0, self.allowance.use('w', 1000).spent)
+        self.allowance.refund(1000)
+        self.assertEqual(0, self.allowance.current_usage('w', 1000).spent)
 
     def test_wait_is_the_time_until_the_tokens_are_refilled(self):
         self.update(0)
@@ -197,7 +197,7 @@
     def test_lower_quota_applies_at_once(self):
         self.update(0)
         self.update(0, at_ms=1000)
-        self.allowance.declare(quota_model.quota(100))
+        self.allowance.set_quota(quota_model.quota(100))
         self.assertEqual(100, self.allowance.accounts['s'].level)
 
     def test_request_without_a_token_count_costs_plain_tokens(self):
--- a/tools/capacity/ring.py
+++ b/tools/capacity/ring.py
@@ -44,7 +44,7 @@
     for name in names:
         state = samples.gateway_state(peer_fanout=fanout, instance=name)
         state.peers = {other: rows[other] for other in names if other != name}
-        for other in _peers.chosen(state):
+        for other in _peers.chosen_peers(state):
             links[name].add(other)
             links[other].add(name)
     return links
--- a/tools/matrix/_guards.py
+++ b/tools/matrix/_guards.py
@@ -382,7 +382,7 @@
     Guard(
         'doubt of a late "not run"',
         _attempts,
-        '_believed',
+        '_distrust_stale_not_run',
         without_doubt,
         'request',
         ('gateway paused for long', 'link down'),
--- a/tools/measure_configuration.py
+++ b/tools/measure_configuration.py
@@ -207,7 +207,7 @@
                 gateway.Options(name), following.NothingToFollow()
             )
             state.peers = dict.fromkeys(x for x in self.gateways if x != name)
-            pairs |= {frozenset((name, x)) for x in _peers.chosen(state)}
+            pairs |= {frozenset((name, x)) for x in _peers.chosen_peers(state)}
         for one, other in map(sorted, pairs):
             self.peers[one].append(other)
             self.peers[other].append(one)
--- a/tools/policy_cost.py
+++ b/tools/policy_cost.py
@@ -88,7 +88,9 @@
         )
         for number in range(500)
     ]
-    return lambda: _routing.choose(state, chance.choice(requests), AT_MS)
+    return lambda: _routing.choose_endpoint(
+        state, chance.choice(requests), AT_MS
+    )
 
 
 def choice_of_order() -> collections.abc.Callable[[], object]:
--- a/tools/quota_model.py
+++ b/tools/quota_model.py
@@ -73,7 +73,7 @@
         self.quota = quota_
         self.limits.append((self.now_ms, quota_))
         for gateway in self.gateways:
-            gateway.allowance.declare(quota_)
+            gateway.allowance.set_quota(quota_)
 
     def restart(self, number):
         gateway = self.gateways[number]
@@ -99,7 +99,7 @@
         gateway = self.gateways[number]
         if gateway.frozen:
             return False
-        gateway.allowance.ask(cost, self.now_ms)
+        gateway.allowance.record_demand(cost, self.now_ms)
         if gateway.allowance.wait_ms(cost, self.now_ms):
             return False
         gateway.allowance.spend(cost, self.now_ms)
@@ -126,7 +126,7 @@
 
     def _tell(self, gateway):
         gateway.told_ms = self.now_ms
-        use = gateway.allowance.use(NAME, self.now_ms)
+        use = gateway.allowance.current_usage(NAME, self.now_ms)
         for number in range(len(self.books)):
             if (gateway.number, number) not in self.cut:
                 due_ms = self.now_ms + self.delay_ms
@@ -157,7 +157,7 @@
             self.words.append((due_ms, gateway, incarnation, number, answer))
         elif incarnation == gateway.incarnation and not gateway.frozen:
             book, found = content
-            gateway.allowance.heard(
+            gateway.allowance.update_totals(
                 str(number), book, found, self.random.random(), self.now_ms
             )
 
@@ -268,7 +268,7 @@
 
     def take(self, cost, now_ms):
         self.expire(now_ms)
-        self.meter.ask(cost, now_ms)
+        self.meter.record_demand(cost, now_ms)
         self.cost = max(cost, self.cost)
         if self.level < cost:
             return False
@@ -280,7 +280,7 @@
             self.level = 0.0
 
     def wanted(self, now_ms):
-        asked = self.meter.use(NAME, now_ms).asked_per_s
+        asked = self.meter.current_usage(NAME, now_ms).asked_per_s
         if not asked:
             return 0.0
         kept = max(self.cost, 2 * asked * TELL_MS / 1000)
