--- a/test/hosted/store_cut.py
+++ b/test/hosted/store_cut.py
@@ -183,7 +183,7 @@
             self._advance_reads()
             if now_ms % TICK_MS == 0:
                 self._feed(events.Ticked(now_ms))
-            if now_ms % REQUEST_MS == 0 and self.state.informed:
+            if now_ms % REQUEST_MS == 0 and self.state.has_required_data:
                 self._send_request(now_ms)
 
     def offer_times(self, name, from_ms):
