--- a/berylhollow/report/__init__.py
+++ b/berylhollow/report/__init__.py
@@ -1,7 +1,7 @@
-"""Report on service-level burn, from the processes' log lines.
+"""Report on error-budget burn, computed from the processes' log lines.
 
-``report.page`` draws the page and is not imported here: it needs matplotlib,
-which the figures alone do not.
+``report.page`` renders the HTML page. It is not imported here because it needs
+matplotlib, which the JSON report does not.
 """
 
 from berylhollow.report._burn import Burn
@@ -10,9 +10,9 @@
 from berylhollow.report._objectives import OBJECTIVES
 from berylhollow.report._records import Answer
 from berylhollow.report._records import Mark
-from berylhollow.report._records import read
+from berylhollow.report._records import parse_log
 from berylhollow.report._records import Records
-from berylhollow.report._summary import alerts
+from berylhollow.report._summary import alerting_results
 from berylhollow.report._summary import summarize
 from berylhollow.report._summary import Summary
 from berylhollow.report._summary import to_json
@@ -26,8 +26,8 @@
     'Objective',
     'Records',
     'Summary',
-    'alerts',
-    'read',
+    'alerting_results',
+    'parse_log',
     'summarize',
     'to_json',
 ]
--- a/berylhollow/report/_burn.py
+++ b/berylhollow/report/_burn.py
@@ -1,8 +1,9 @@
 """Error budgets and burn rates over several windows.
 
-A burn rate of 1 uses the whole budget up in exactly the period of the
-objective. An alert asks for a long window, so that a blip does not page, and
-a short one, so that it ends soon after the fault does.
+A burn rate of 1 uses up the whole budget in exactly the period of the
+objective. An alert requires a high rate in a long window, so that a short
+burst of failures does not page, and in a short window, so that the alert ends
+soon after the fault does.
 """
 
 import bisect
@@ -16,7 +17,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Window:
-    """A pair of windows, and the burn rate at which both raise an alert."""
+    """A long and a short window with their alert threshold.
+
+    An alert fires while the burn rates of both reach ``threshold``.
+    """
 
     name: str
     long_ms: int
@@ -25,7 +29,8 @@
     severity: str
 
 
-# 2, 5, 10 and 10 per cent of a 28-day budget within the long window.
+# At its threshold, a burn uses 2, 5, 10 and 10 per cent of a 28-day budget
+# within the long window.
 WINDOWS = (
     Window('1h', HOUR_MS, 5 * MINUTE_MS, 13.44, 'page'),
     Window('6h', 6 * HOUR_MS, 30 * MINUTE_MS, 5.6, 'page'),
@@ -36,9 +41,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WindowBurn:
-    """The burn of one pair of windows at the end of the records.
+    """The burn rates of one pair of windows at the end of the records.
 
-    ``covered`` tells whether the records reach over the whole long window.
+    ``covered`` is true if the records span the whole long window.
     """
 
     window: Window
@@ -50,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Burn:
-    """What one objective has used of its budget."""
+    """The good and bad answers of an objective, and its burn rates."""
 
     good: int
     bad: int
@@ -67,59 +72,71 @@
 
     @property
     def budget_left(self) -> float:
-        """The share of these answers' budget that is left, below 0 if over.
+        """The share of the error budget that is left, below 0 if overspent.
 
-        It is the budget of the answers in the records; a period of 28 days
-        is judged only by records of 28 days.
+        The budget is that of the answers in the records, so only records of
+        28 days show the state of the 28-day budget.
         """
         if not self.total:
             return 1.0
         return 1 - self.bad_share / self.budget
 
 
-class Judged:
-    """Moments and verdicts of one objective, for sums over any window."""
+class VerdictCounts:
+    """Counts the verdicts of one objective in any window of time.
+
+    ``verdicts`` holds pairs of a time and whether the answer was good, in
+    order of time.
+    """
 
     def __init__(self, verdicts: list[tuple[int, bool]]):
-        self.moments = [at_ms for at_ms, _ in verdicts]
+        self.times_ms = [at_ms for at_ms, _ in verdicts]
         self.bad_before = [0]
         for _, good in verdicts:
             self.bad_before.append(self.bad_before[-1] + (not good))
 
     def counts(self, from_ms: int, to_ms: int) -> tuple[int, int]:
-        """Return how many answers and how many bad ones lie in a window."""
-        first = bisect.bisect_left(self.moments, from_ms)
-        last = bisect.bisect_right(self.moments, to_ms)
+        """Return the number of answers and of bad answers in a window."""
+        first = bisect.bisect_left(self.times_ms, from_ms)
+        last = bisect.bisect_right(self.times_ms, to_ms)
         bad = self.bad_before[last] - self.bad_before[first]
         return last - first, bad
 
-    def rate(self, from_ms: int, to_ms: int, budget: float) -> float:
-        """Return the burn rate within a window, 0 without answers."""
+    def burn_rate(self, from_ms: int, to_ms: int, budget: float) -> float:
+        """Return the burn rate in a window, 0 if it holds no answers."""
         total, bad = self.counts(from_ms, to_ms)
         return bad / total / budget if total else 0.0
 
 
-def burn(
+def compute_burn(
     verdicts: list[tuple[int, bool]],
     budget: float,
     start_ms: int,
     end_ms: int,
 ) -> Burn:
-    """Return the burn of an objective over records from start to end."""
-    judged = Judged(verdicts)
-    total, bad = judged.counts(start_ms, end_ms)
+    """Return the burn of an objective for records from start to end."""
+    verdict_counts = VerdictCounts(verdicts)
+    total, bad = verdict_counts.counts(start_ms, end_ms)
     windows = tuple(
-        _window_burn(judged, window, budget, start_ms, end_ms)
+        _window_burn(verdict_counts, window, budget, start_ms, end_ms)
         for window in WINDOWS
     )
     return Burn(total - bad, bad, budget, windows)
 
 
 def _window_burn(
-    judged: Judged, window: Window, budget: float, start_ms: int, end_ms: int
+    verdict_counts: VerdictCounts,
+    window: Window,
+    budget: float,
+    start_ms: int,
+    end_ms: int,
 ) -> WindowBurn:
-    long_rate = judged.rate(end_ms - window.long_ms, end_ms, budget)
-    short_rate = judged.rate(end_ms - window.short_ms, end_ms, budget)
+    long_rate = verdict_counts.burn_rate(
+        end_ms - window.long_ms, end_ms, budget
+    )
+    short_rate = verdict_counts.burn_rate(
+        end_ms - window.short_ms, end_ms, budget
+    )
     alert = min(long_rate, short_rate) >= window.threshold
     covered = end_ms - start_ms >= window.long_ms
     return WindowBurn(window, long_rate, short_rate, alert, covered)
--- a/berylhollow/report/_objectives.py
+++ b/berylhollow/report/_objectives.py
@@ -5,11 +5,11 @@
 
 from berylhollow.report import _records
 
-FIRST_TOKEN_MS = 450
-BETWEEN_TOKENS_MS = 32
-LOAD_STALL_MS = 2000
-# The caller's own doing: a refusal of these does not use the budget.
-CALLERS_KINDS = frozenset(
+MAX_FIRST_TOKEN_MS = 450
+MAX_TOKEN_GAP_MS = 32
+MAX_LOAD_STALL_MS = 2000
+# Errors caused by the caller, which do not count against the budget.
+CALLER_ERROR_KINDS = frozenset(
     {
         'bad_header',
         'bad_request',
@@ -29,20 +29,21 @@
     }
 )
 
-Judge = collections.abc.Callable[[_records.Answer], bool | None]
+Criterion = collections.abc.Callable[[_records.Answer], bool | None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Objective:
-    """A share of answers that has to be good.
+    """A target share of answers that have to be good.
 
-    ``judge`` returns None for an answer that the objective is not about.
+    ``judge`` returns whether an answer is good, or None if the objective does
+    not apply to it.
     """
 
     name: str
     title: str
     target: float
-    judge: Judge
+    judge: Criterion
 
     @property
     def budget(self) -> float:
@@ -50,26 +51,27 @@
         return 1 - self.target
 
 
-def _first_token(answer: _records.Answer) -> bool | None:
-    if answer.kind in CALLERS_KINDS or not answer.adapter:
+def _meets_first_token(answer: _records.Answer) -> bool | None:
+    if answer.kind in CALLER_ERROR_KINDS or not answer.adapter:
         return None
     if answer.first_byte_ms is None:
         return False
     if not answer.parts:
-        # All of an answer that is not streamed comes at its end.
+        # An answer that is not streamed arrives as a whole at its end, so
+        # the time of its first token is unknown.
         return None
-    return answer.first_byte_ms <= FIRST_TOKEN_MS
+    return answer.first_byte_ms <= MAX_FIRST_TOKEN_MS
 
 
-def _between_tokens(answer: _records.Answer) -> bool | None:
+def _meets_between_tokens(answer: _records.Answer) -> bool | None:
     if answer.first_byte_ms is None or answer.parts < 2:
         return None
     span_ms = answer.duration_ms - answer.first_byte_ms
-    return span_ms / (answer.parts - 1) <= BETWEEN_TOKENS_MS
+    return span_ms / (answer.parts - 1) <= MAX_TOKEN_GAP_MS
 
 
-def _on_time(answer: _records.Answer) -> bool | None:
-    if answer.kind in CALLERS_KINDS:
+def _meets_deadline(answer: _records.Answer) -> bool | None:
+    if answer.kind in CALLER_ERROR_KINDS:
         return None
     if answer.kind:
         return False
@@ -77,30 +79,32 @@
     return deadline_ms is None or answer.duration_ms <= deadline_ms
 
 
-def _load_stall(answer: _records.Answer) -> bool | None:
+def _meets_load_stall(answer: _records.Answer) -> bool | None:
     if answer.stalled_ms is None or not answer.adapter:
         return None
-    return answer.stalled_ms <= LOAD_STALL_MS
+    return answer.stalled_ms <= MAX_LOAD_STALL_MS
 
 
 OBJECTIVES = (
     Objective(
         'first_token',
-        f'first token within {FIRST_TOKEN_MS} ms',
+        f'first token within {MAX_FIRST_TOKEN_MS} ms',
         0.95,
-        _first_token,
+        _meets_first_token,
     ),
     Objective(
         'between_tokens',
-        f'at most {BETWEEN_TOKENS_MS} ms between tokens, mean of an answer',
+        f'at most {MAX_TOKEN_GAP_MS} ms between tokens, mean of an answer',
         0.95,
-        _between_tokens,
+        _meets_between_tokens,
+    ),
+    Objective(
+        'on_time', 'whole answer by its deadline', 0.99, _meets_deadline
     ),
-    Objective('on_time', 'whole answer by its deadline', 0.99, _on_time),
     Objective(
         'load_stall',
-        f'at most {LOAD_STALL_MS} ms of waiting for a load',
+        f'at most {MAX_LOAD_STALL_MS} ms of waiting for a load',
         0.95,
-        _load_stall,
+        _meets_load_stall,
     ),
 )
--- a/berylhollow/report/_records.py
+++ b/berylhollow/report/_records.py
@@ -1,4 +1,4 @@
-"""Typed records of the log lines that a report is made from."""
+"""Parse the log lines that a report is computed from."""
 
 import collections.abc
 import dataclasses
@@ -8,11 +8,11 @@
 
 from berylhollow import clock
 
-ANSWERED = 'answered'
+ANSWERED_MESSAGE = 'answered'
 
 
 class MarkKind(enum.Enum):
-    """What a timeline shows beside the answers."""
+    """Kinds of deployment events; each value is the log message."""
 
     CONFIGURATION = 'configuration in force'
     LOAD = 'adapter loaded'
@@ -25,8 +25,9 @@
 class Answer:
     """One answered request; times and durations in milliseconds.
 
-    ``at_ms`` is UTC since the epoch. ``kind`` is empty for a whole answer.
-    ``parts`` counts the parts of an event stream, about one a token.
+    ``at_ms`` is UTC since the epoch. ``kind`` is the kind of error, empty for
+    a complete answer. ``parts`` counts the parts of an event stream, about one
+    per token.
     """
 
     at_ms: int
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mark:
-    """Something that happened to the deployment itself."""
+    """An event of the deployment, shown on the timeline."""
 
     at_ms: int
     kind: MarkKind
@@ -54,18 +55,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Records:
-    """All that was found; ``skipped`` lines were no log lines of ours."""
+    """The parsed log; ``skipped`` counts the lines that can't be parsed."""
 
     answers: tuple[Answer, ...]
     marks: tuple[Mark, ...]
     skipped: int
 
 
-def read(lines: collections.abc.Iterable[str]) -> Records:
-    """Return the answers and marks among log lines, in order of time.
+def parse_log(lines: collections.abc.Iterable[str]) -> Records:
+    """Return the answers and marks of the log lines, in order of time.
 
-    Lines of other messages are passed over; a line that is no JSON object
-    with a time, or lacks a field, is counted as skipped.
+    Lines with other messages are ignored. A line that is not a JSON object
+    with a message, or lacks a required field, is counted as skipped.
     """
     answers: list[Answer] = []
     marks: list[Mark] = []
@@ -75,10 +76,10 @@
         try:
             fields = json.loads(line)
             message = fields['message']
-            if message == ANSWERED:
-                answers.append(_answer(fields))
+            if message == ANSWERED_MESSAGE:
+                answers.append(_parse_answer(fields))
             elif message in kinds:
-                marks.append(_mark(fields, kinds[message]))
+                marks.append(_parse_mark(fields, kinds[message]))
         except (ValueError, TypeError, KeyError, AttributeError):
             skipped += 1
     answers.sort(key=lambda answer: answer.at_ms)
@@ -86,9 +87,9 @@
     return Records(tuple(answers), tuple(marks), skipped)
 
 
-def _answer(fields: dict) -> Answer:
+def _parse_answer(fields: dict) -> Answer:
     return Answer(
-        at_ms=_at_ms(fields),
+        at_ms=_parse_time_ms(fields),
         caller=fields['caller'],
         service=fields['service'],
         adapter=fields['adapter'],
@@ -102,12 +103,16 @@
     )
 
 
-def _mark(fields: dict, kind: MarkKind) -> Mark:
-    named = ('revision', 'adapter', 'version', 'reason', 'epoch')
-    detail = ' '.join(str(fields[name]) for name in named if name in fields)
-    return Mark(_at_ms(fields), kind, fields.get('instance', ''), detail)
+def _parse_mark(fields: dict, kind: MarkKind) -> Mark:
+    detail_keys = ('revision', 'adapter', 'version', 'reason', 'epoch')
+    detail = ' '.join(
+        str(fields[name]) for name in detail_keys if name in fields
+    )
+    return Mark(
+        _parse_time_ms(fields), kind, fields.get('instance', ''), detail
+    )
 
 
-def _at_ms(fields: dict) -> int:
-    moment = datetime.datetime.fromisoformat(fields['time'])
-    return int(moment.timestamp() * clock.MS_PER_SECOND)
+def _parse_time_ms(fields: dict) -> int:
+    time = datetime.datetime.fromisoformat(fields['time'])
+    return int(time.timestamp() * clock.MS_PER_SECOND)
--- a/berylhollow/report/_summary.py
+++ b/berylhollow/report/_summary.py
@@ -9,16 +9,19 @@
 from berylhollow.report import _objectives
 from berylhollow.report import _records
 
-WORST = 10
-BUCKETS = 120
+MAX_WORST = 10
+MAX_BUCKETS = 120
 MIN_BUCKET_MS = 1000
-NO_SERVICE = 'not known'
-"""Of requests that failed before a configuration told their service."""
+UNKNOWN_SERVICE = 'not known'
+"""Stands for the service of requests that failed before it was known.
+
+A gateway without a configuration can't tell the service of a request.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """One objective of one service."""
+    """The burn of one objective of one service."""
 
     service: str
     objective: _objectives.Objective
@@ -26,8 +29,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Worst:
-    """An adapter or caller and its bad answers, over all objectives."""
+class WorstEntry:
+    """An adapter or caller with its answers that missed any objective."""
 
     name: str
     answers: int
@@ -36,7 +39,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Series:
-    """Burn rates of one result over time, one a bucket."""
+    """Burn rates of one objective over time, one per time bucket.
+
+    A rate is None for a bucket without answers.
+    """
 
     service: str
     objective: str
@@ -54,30 +60,30 @@
     skipped: int
     results: tuple[Result, ...]
     series: tuple[Series, ...]
-    worst_adapters: tuple[Worst, ...]
-    worst_callers: tuple[Worst, ...]
+    worst_adapters: tuple[WorstEntry, ...]
+    worst_callers: tuple[WorstEntry, ...]
     marks: tuple[_records.Mark, ...]
     kinds: tuple[tuple[str, int], ...]
 
 
 def summarize(records: _records.Records) -> Summary:
-    """Return the figures of the records; raises ValueError without any."""
+    """Return the figures; raise ``ValueError`` if there are no answers."""
     if not records.answers:
         raise ValueError('no answered request in the logs')
     start_ms = records.answers[0].at_ms
     end_ms = records.answers[-1].at_ms
-    judged = _judge(records.answers)
+    verdicts_by_objective = _collect_verdicts(records.answers)
     return Summary(
         start_ms=start_ms,
         end_ms=end_ms,
         answers=len(records.answers),
         skipped=records.skipped,
-        results=_results(judged, start_ms, end_ms),
-        series=_series(judged, start_ms, end_ms),
-        worst_adapters=_worst(records.answers, lambda x: x.adapter),
-        worst_callers=_worst(records.answers, lambda x: x.caller),
-        marks=_first_of_each_revision(records.marks),
-        kinds=_kinds(records.answers),
+        results=_compute_results(verdicts_by_objective, start_ms, end_ms),
+        series=_compute_series(verdicts_by_objective, start_ms, end_ms),
+        worst_adapters=_rank_worst(records.answers, lambda x: x.adapter),
+        worst_callers=_rank_worst(records.answers, lambda x: x.caller),
+        marks=_drop_repeated_revisions(records.marks),
+        kinds=_count_kinds(records.answers),
     )
 
 
@@ -88,7 +94,7 @@
         'end_ms': summary.end_ms,
         'answers': summary.answers,
         'skipped_lines': summary.skipped,
-        'objectives': [_result_json(result) for result in summary.results],
+        'objectives': [_result_to_dict(result) for result in summary.results],
         'worst_adapters': [
             dataclasses.asdict(worst) for worst in summary.worst_adapters
         ],
@@ -104,23 +110,27 @@
     return json.dumps(document, indent=2)
 
 
-Judged = dict[tuple[str, str], list[tuple[int, bool]]]
+VerdictsByObjective = dict[tuple[str, str], list[tuple[int, bool]]]
 
 
-def _judge(answers: collections.abc.Iterable[_records.Answer]) -> Judged:
-    judged: Judged = {}
+def _collect_verdicts(
+    answers: collections.abc.Iterable[_records.Answer],
+) -> VerdictsByObjective:
+    verdicts_by_objective: VerdictsByObjective = {}
     for answer in answers:
         for objective in _objectives.OBJECTIVES:
             good = objective.judge(answer)
             if good is None:
                 continue
-            key = (answer.service or NO_SERVICE, objective.name)
-            judged.setdefault(key, []).append((answer.at_ms, good))
-    return judged
+            key = (answer.service or UNKNOWN_SERVICE, objective.name)
+            verdicts_by_objective.setdefault(key, []).append(
+                (answer.at_ms, good)
+            )
+    return verdicts_by_objective
 
 
-def alerts(summary: Summary) -> tuple[Result, ...]:
-    """Return the objectives of which an alert is on."""
+def alerting_results(summary: Summary) -> tuple[Result, ...]:
+    """Return the results with a firing alert."""
     return tuple(
         result
         for result in summary.results
@@ -128,42 +138,49 @@
     )
 
 
-def _by_name(name: str) -> _objectives.Objective:
+def _objective_by_name(name: str) -> _objectives.Objective:
     return next(x for x in _objectives.OBJECTIVES if x.name == name)
 
 
-def _results(judged: Judged, start_ms: int, end_ms: int) -> tuple:
-    found = []
-    for (service, name), verdicts in sorted(judged.items()):
-        objective = _by_name(name)
-        burn = _burn.burn(verdicts, objective.budget, start_ms, end_ms)
-        found.append(Result(service, objective, burn))
-    return tuple(found)
+def _compute_results(
+    verdicts_by_objective: VerdictsByObjective, start_ms: int, end_ms: int
+) -> tuple:
+    results = []
+    for (service, name), verdicts in sorted(verdicts_by_objective.items()):
+        objective = _objective_by_name(name)
+        burn = _burn.compute_burn(verdicts, objective.budget, start_ms, end_ms)
+        results.append(Result(service, objective, burn))
+    return tuple(results)
 
 
-def _series(judged: Judged, start_ms: int, end_ms: int) -> tuple:
-    step_ms = max(MIN_BUCKET_MS, -(-(end_ms - start_ms + 1) // BUCKETS))
+def _compute_series(
+    verdicts_by_objective: VerdictsByObjective, start_ms: int, end_ms: int
+) -> tuple:
+    step_ms = max(MIN_BUCKET_MS, -(-(end_ms - start_ms + 1) // MAX_BUCKETS))
     starts = tuple(range(start_ms, end_ms + 1, step_ms))
-    found = []
-    for (service, name), verdicts in sorted(judged.items()):
-        sums = _burn.Judged(verdicts)
-        budget = _by_name(name).budget
+    all_series = []
+    for (service, name), verdicts in sorted(verdicts_by_objective.items()):
+        verdict_counts = _burn.VerdictCounts(verdicts)
+        budget = _objective_by_name(name).budget
         rates = tuple(
-            _bucket_rate(sums, at_ms, at_ms + step_ms - 1, budget)
+            _bucket_rate(verdict_counts, at_ms, at_ms + step_ms - 1, budget)
             for at_ms in starts
         )
-        found.append(Series(service, name, starts, rates))
-    return tuple(found)
+        all_series.append(Series(service, name, starts, rates))
+    return tuple(all_series)
 
 
 def _bucket_rate(
-    sums: _burn.Judged, from_ms: int, to_ms: int, budget: float
+    verdict_counts: _burn.VerdictCounts,
+    from_ms: int,
+    to_ms: int,
+    budget: float,
 ) -> float | None:
-    total, bad = sums.counts(from_ms, to_ms)
+    total, bad = verdict_counts.counts(from_ms, to_ms)
     return bad / total / budget if total else None
 
 
-def _worst(answers, key) -> tuple[Worst, ...]:
+def _rank_worst(answers, key) -> tuple[WorstEntry, ...]:
     total: collections.Counter = collections.Counter()
     bad: collections.Counter = collections.Counter()
     for answer in answers:
@@ -173,14 +190,14 @@
         total[name] += 1
         verdicts = [x.judge(answer) for x in _objectives.OBJECTIVES]
         bad[name] += any(verdict is False for verdict in verdicts)
-    found = [Worst(name, total[name], bad[name]) for name in total]
-    found = [worst for worst in found if worst.bad]
-    found.sort(key=lambda worst: (-worst.bad, worst.name))
-    return tuple(found[:WORST])
+    entries = [WorstEntry(name, total[name], bad[name]) for name in total]
+    entries = [worst for worst in entries if worst.bad]
+    entries.sort(key=lambda worst: (-worst.bad, worst.name))
+    return tuple(entries[:MAX_WORST])
 
 
-def _first_of_each_revision(marks) -> tuple[_records.Mark, ...]:
-    """Keep one mark a revision: every process logs it."""
+def _drop_repeated_revisions(marks) -> tuple[_records.Mark, ...]:
+    """Return the marks with one per revision, as every process logs it."""
     seen = set()
     kept = []
     for mark in marks:
@@ -192,12 +209,12 @@
     return tuple(kept)
 
 
-def _kinds(answers) -> tuple[tuple[str, int], ...]:
+def _count_kinds(answers) -> tuple[tuple[str, int], ...]:
     counted = collections.Counter(x.kind for x in answers if x.kind)
     return tuple(sorted(counted.items(), key=lambda pair: -pair[1]))
 
 
-def _result_json(result: Result) -> dict:
+def _result_to_dict(result: Result) -> dict:
     return {
         'service': result.service,
         'objective': result.objective.name,
--- a/berylhollow/report/page.py
+++ b/berylhollow/report/page.py
@@ -1,4 +1,4 @@
-"""The report as one HTML page that needs nothing beside it."""
+"""Render the report as one self-contained HTML page."""
 
 import datetime
 import html
@@ -20,12 +20,12 @@
 .thin { color: #888; }
 svg { max-width: 100%; height: auto; }
 """
-NOTE = (
+LEGEND = (
     '<p class="thin">Burn is the rate over the long / the short window; 1 '
     'uses the budget up in 28 days. Grey: the logs are shorter than the long '
     'window. Red: an alert, or a budget that is used up.</p>'
 )
-MOST_MARKS = 20
+MAX_MARKS = 20
 
 
 def render(summary: _summary.Summary) -> str:
@@ -36,16 +36,16 @@
         '<title>berylhollow: service-level burn</title>',
         f'<style>{STYLE}</style></head><body>',
         '<h1>Service-level burn</h1>',
-        _span(summary),
+        _time_range(summary),
         '<h2>Alerts</h2>',
-        _alerts(summary),
+        _alert_table(summary),
         '<h2>Timeline</h2>',
-        _plots.timeline(summary),
-        _marks(summary),
-        NOTE,
+        _plots.draw_timeline(summary),
+        _mark_table(summary),
+        LEGEND,
     ]
     for service in services:
-        parts += _service(summary, service)
+        parts += _service_section(summary, service)
     parts += [
         '<h2>Worst adapters</h2>',
         _worst_table('adapter', summary.worst_adapters),
@@ -58,54 +58,56 @@
     return '\n'.join(parts)
 
 
-def _span(summary: _summary.Summary) -> str:
-    start, end = _moment(summary.start_ms), _moment(summary.end_ms)
+def _time_range(summary: _summary.Summary) -> str:
+    start, end = _format_time(summary.start_ms), _format_time(summary.end_ms)
     text = f'{summary.answers} answers from {start} to {end} UTC.'
     if summary.skipped:
         text += f' {summary.skipped} lines were not understood.'
     return f'<p>{html.escape(text)}</p>'
 
 
-def _alerts(summary: _summary.Summary) -> str:
-    rows = [_alert_row(result) for result in _summary.alerts(summary)]
+def _alert_table(summary: _summary.Summary) -> str:
+    rows = [
+        _alert_row(result) for result in _summary.alerting_results(summary)
+    ]
     return _table(['service', 'objective', 'alert', 'burn', 'seen'], rows)
 
 
 def _alert_row(result: _summary.Result) -> list:
-    raised = [window for window in result.burn.windows if window.alert]
-    # The windows are listed with the most urgent first.
+    firing = [window for window in result.burn.windows if window.alert]
+    # WINDOWS lists the most urgent window first.
     burns = [
         f'{burn.window.name}: {burn.long_rate:.1f} / {burn.short_rate:.1f}, '
         f'threshold {burn.window.threshold}'
-        for burn in raised
+        for burn in firing
     ]
-    covered = any(burn.covered for burn in raised)
+    covered = any(burn.covered for burn in firing)
     return [
         result.service,
         result.objective.title,
-        raised[0].window.severity,
+        firing[0].window.severity,
         '; '.join(burns),
         'whole window' if covered else 'logs are shorter',
     ]
 
 
-def _marks(summary: _summary.Summary) -> str:
-    """Return a table of the last marks, but for loads, which are many."""
+def _mark_table(summary: _summary.Summary) -> str:
+    """Return a table of the latest marks, without the frequent loads."""
     shown = [
         mark
         for mark in summary.marks
         if mark.kind is not _records.MarkKind.LOAD
     ]
     rows = [
-        [_moment(mark.at_ms), mark.kind.value, mark.instance, mark.detail]
-        for mark in shown[-MOST_MARKS:]
+        [_format_time(mark.at_ms), mark.kind.value, mark.instance, mark.detail]
+        for mark in shown[-MAX_MARKS:]
     ]
-    if len(shown) > MOST_MARKS:
-        rows.insert(0, [f'{len(shown) - MOST_MARKS} earlier', '', '', ''])
+    if len(shown) > MAX_MARKS:
+        rows.insert(0, [f'{len(shown) - MAX_MARKS} earlier', '', '', ''])
     return _table(['time, UTC', 'what', 'where', 'detail'], rows)
 
 
-def _service(summary: _summary.Summary, service: str) -> list[str]:
+def _service_section(summary: _summary.Summary, service: str) -> list[str]:
     results = [x for x in summary.results if x.service == service]
     windows = [window.name for window in _burn.WINDOWS]
     header = ['objective', 'target', 'good', 'bad', 'budget left']
@@ -114,7 +116,7 @@
     return [
         f'<h2>Service {html.escape(service)}</h2>',
         _table(header, rows),
-        _plots.burn_rates(summary, service),
+        _plots.draw_burn_rates(summary, service),
     ]
 
 
@@ -132,22 +134,22 @@
     ]
     for window in burn.windows:
         text = f'{window.long_rate:.1f} / {window.short_rate:.1f}'
-        look = 'bad' if window.alert else ''
+        css_class = 'bad' if window.alert else ''
         if not window.covered:
-            look += ' thin'
-        cells.append(_Cell(text, look.strip()))
+            css_class += ' thin'
+        cells.append(_Cell(text, css_class.strip()))
     return cells
 
 
 class _Cell:
-    """A table cell with a look of its own."""
+    """A table cell with a CSS class."""
 
-    def __init__(self, text: str, look: str):
+    def __init__(self, text: str, css_class: str):
         self.text = text
-        self.look = look
+        self.css_class = css_class
 
 
-def _worst_table(name: str, worst: tuple[_summary.Worst, ...]) -> str:
+def _worst_table(name: str, worst: tuple[_summary.WorstEntry, ...]) -> str:
     rows = [[item.name, item.answers, item.bad] for item in worst]
     return _table([name, 'answers', 'with a missed objective'], rows)
 
@@ -157,22 +159,22 @@
         return '<p>None.</p>'
     head = ''.join(f'<th>{html.escape(name)}</th>' for name in header)
     body = ''.join(
-        '<tr>' + ''.join(_cell(value) for value in row) + '</tr>'
+        '<tr>' + ''.join(_render_cell(value) for value in row) + '</tr>'
         for row in rows
     )
     return f'<table><tr>{head}</tr>{body}</table>'
 
 
-def _cell(value) -> str:
+def _render_cell(value) -> str:
     if isinstance(value, _Cell):
-        look = f' class="{value.look}"' if value.look else ''
-        return f'<td{look}>{html.escape(value.text)}</td>'
-    look = ' class="number"' if isinstance(value, int) else ''
-    return f'<td{look}>{html.escape(str(value))}</td>'
+        css_class = f' class="{value.css_class}"' if value.css_class else ''
+        return f'<td{css_class}>{html.escape(value.text)}</td>'
+    css_class = ' class="number"' if isinstance(value, int) else ''
+    return f'<td{css_class}>{html.escape(str(value))}</td>'
 
 
-def _moment(at_ms: int) -> str:
-    moment = datetime.datetime.fromtimestamp(
+def _format_time(at_ms: int) -> str:
+    time = datetime.datetime.fromtimestamp(
         at_ms / clock.MS_PER_SECOND, datetime.UTC
     )
-    return f'{moment:%Y-%m-%d %H:%M:%S}'
+    return f'{time:%Y-%m-%d %H:%M:%S}'
--- a/berylhollow/ui/report_command.py
+++ b/berylhollow/ui/report_command.py
@@ -1,4 +1,4 @@
-"""The command ``report``: service-level burn, from the processes' logs."""
+"""The command ``report``: error-budget burn from the processes' logs."""
 
 import argparse
 import importlib
@@ -38,8 +38,8 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Write the report; exit with FINDINGS if an alert is on."""
-    records = report.read(_lines(arguments.logs))
+    """Write the report; return ``FINDINGS`` if an alert is firing."""
+    records = report.parse_log(_read_lines(arguments.logs))
     try:
         summary = report.summarize(records)
     except ValueError as error:
@@ -47,28 +47,28 @@
     if arguments.format == JSON:
         text = report.to_json(summary) + '\n'
     else:
-        text = _page(summary)
+        text = _render_page(summary)
     if arguments.out is None:
         print(text, end='')
     else:
         arguments.out.write_text(text, encoding='utf-8')
-    if report.alerts(summary):
+    if report.alerting_results(summary):
         return exits.ExitCode.FINDINGS
     return exits.ExitCode.OK
 
 
-def _page(summary: report.Summary) -> str:
+def _render_page(summary: report.Summary) -> str:
     try:
         page = importlib.import_module('berylhollow.report.page')
     except ModuleNotFoundError as error:
         raise exits.UserError(
-            'the page needs matplotlib, which is not installed here; '
+            'the HTML page needs matplotlib, which is not installed; '
             'use --format json'
         ) from error
     return page.render(summary)
 
 
-def _lines(paths: list[pathlib.Path]):
+def _read_lines(paths: list[pathlib.Path]):
     for path in paths:
         try:
             with path.open(encoding='utf-8', errors='replace') as log:
--- a/test/report/test_report.py
+++ b/test/report/test_report.py
@@ -10,7 +10,7 @@
 MINUTE_MS = 60_000
 
 
-def line(minute=0, message='answered', **changes):
+def log_line(minute=0, message='answered', **changes):
     fields = {
         'time': f'2026-12-02T10:{minute:02d}:00.000Z',
         'message': message,
@@ -28,22 +28,22 @@
     return json.dumps(fields | changes)
 
 
-def result(summary, name):
+def find_burn(summary, name):
     (found,) = [x for x in summary.results if x.objective.name == name]
     return found.burn
 
 
 class ReportTest(unittest.TestCase):
     def summarize(self, *lines):
-        return report.summarize(report.read(lines))
+        return report.summarize(report.parse_log(lines))
 
     def test_objectives_judge_answers(self):
         summary = self.summarize(
-            line(),
-            line(first_byte_ms=451),
-            line(duration_ms=2000),
-            line(stalled_ms=5000),
-            line(duration_ms=31_000, parts=0),
+            log_line(),
+            log_line(first_byte_ms=451),
+            log_line(duration_ms=2000),
+            log_line(stalled_ms=5000),
+            log_line(duration_ms=31_000, parts=0),
         )
         bad = {x.objective.name: x.burn.bad for x in summary.results}
         expected = {
@@ -57,54 +57,59 @@
     def test_first_token_is_judged_only_where_it_can_be_seen(self):
         whole = {'parts': 0, 'first_byte_ms': 2000, 'duration_ms': 2000}
         failed = {'kind': 'overloaded', 'first_byte_ms': None, 'parts': 0}
-        summary = self.summarize(line(**whole), line(**failed), line())
-        burn = result(summary, 'first_token')
+        summary = self.summarize(
+            log_line(**whole), log_line(**failed), log_line()
+        )
+        burn = find_burn(summary, 'first_token')
         self.assertEqual((1, 1), (burn.good, burn.bad))
 
-    def test_callers_own_mistakes_do_not_use_the_budget(self):
+    def test_caller_errors_do_not_use_the_budget(self):
         summary = self.summarize(
-            line(), line(kind='unknown_adapter'), line(kind='overloaded')
+            log_line(),
+            log_line(kind='unknown_adapter'),
+            log_line(kind='overloaded'),
         )
-        burn = result(summary, 'on_time')
+        burn = find_burn(summary, 'on_time')
         self.assertEqual((1, 1), (burn.good, burn.bad))
 
-    def test_lines_of_others_are_counted_as_skipped(self):
-        records = report.read(
-            ['not json', '[]', '{"message": "answered"}', line(), '{}']
+    def test_lines_that_can_not_be_parsed_are_counted_as_skipped(self):
+        records = report.parse_log(
+            ['not json', '[]', '{"message": "answered"}', log_line(), '{}']
         )
         self.assertEqual((1, 4), (len(records.answers), records.skipped))
 
     def test_alert_needs_the_long_and_the_short_window(self):
-        """An operator is woken for a fault that ended an hour ago.
+        """Guards against alerts for a fault that has already ended.
 
-        All answers of some minutes fail, then all are well. The long window
-        still burns. Cause: an alert on one window only.
+        All answers fail for some minutes, then all succeed. The burn rate of
+        the long window stays high. An alert on that window alone would still
+        fire.
         """
         bad = [(minute * MINUTE_MS, False) for minute in range(30)]
-        well = [(minute * MINUTE_MS, True) for minute in range(30, 60)]
+        good = [(minute * MINUTE_MS, True) for minute in range(30, 60)]
         end_ms = 60 * MINUTE_MS
-        during = _burn.burn(bad, 0.05, 0, 29 * MINUTE_MS)
-        after = _burn.burn(bad + well, 0.05, 0, end_ms)
+        during = _burn.compute_burn(bad, 0.05, 0, 29 * MINUTE_MS)
+        after = _burn.compute_burn(bad + good, 0.05, 0, end_ms)
         self.assertTrue(during.windows[0].alert)
         self.assertFalse(after.windows[0].alert)
         self.assertGreater(after.windows[0].long_rate, 1)
 
-    def test_budget_left_is_of_the_answers_seen(self):
+    def test_budget_left_is_computed_from_the_answers_read(self):
         verdicts = [(number, number >= 5) for number in range(200)]
-        burn = _burn.burn(verdicts, 0.05, 0, 200)
+        burn = _burn.compute_burn(verdicts, 0.05, 0, 200)
         self.assertAlmostEqual(0.5, burn.budget_left)
 
     def test_revision_is_marked_once_however_many_processes_log_it(self):
-        mark = line(message='configuration in force', revision=7)
-        summary = self.summarize(line(), mark, mark)
+        mark = log_line(message='configuration in force', revision=7)
+        summary = self.summarize(log_line(), mark, mark)
         self.assertEqual(1, len(summary.marks))
 
-    def test_page_needs_nothing_beside_it(self):
+    def test_page_is_self_contained(self):
         text = page.render(
             self.summarize(
-                line(service='<b>x</b>'),
-                line(5, message='engine restarted', epoch='e2'),
-                line(9, first_byte_ms=900),
+                log_line(service='<b>x</b>'),
+                log_line(5, message='engine restarted', epoch='e2'),
+                log_line(9, first_byte_ms=900),
             )
         )
         self.assertIn('<svg', text)
@@ -113,13 +118,13 @@
         self.assertNotIn('href="http', text)
 
     def test_an_outage_without_a_service_uses_a_budget(self):
-        """Nothing is served, and the report shows no objective missed.
+        """Guards against an outage that the report does not show.
 
-        Gateways have read no configuration, so they don't know the service
-        of a request. Cause: answers without a service were left out.
+        Gateways without a configuration don't know the service of a request.
+        Answers without a service were left out, so no objective was missed.
         """
-        outage = line(service='', kind='configuration_unavailable')
-        summary = self.summarize(line(), outage)
+        outage = log_line(service='', kind='configuration_unavailable')
+        summary = self.summarize(log_line(), outage)
         bad = [
             x.service
             for x in summary.results
@@ -130,8 +135,10 @@
     def test_page_lists_alerts_and_what_happened(self):
         text = page.render(
             self.summarize(
-                line(kind='overloaded'),
-                line(5, message='engine restarted', epoch='e2', instance='i7'),
+                log_line(kind='overloaded'),
+                log_line(
+                    5, message='engine restarted', epoch='e2', instance='i7'
+                ),
             )
         )
         self.assertIn('whole answer by its deadline</td><td>page</td>', text)
@@ -140,7 +147,7 @@
         self.assertIn('none: 10000% used', text)
 
     def test_figures_are_json(self):
-        document = json.loads(report.to_json(self.summarize(line())))
+        document = json.loads(report.to_json(self.summarize(log_line())))
         self.assertEqual(1, document['answers'])
         self.assertEqual(4, len(document['objectives']))
 
