--- a/berylhollow/ui/_live_replay.py
+++ b/berylhollow/ui/_live_replay.py
@@ -1,4 +1,4 @@
-"""The part of the command ``replay`` that calls running gateways."""
+"""The ``--live`` mode of the command ``replay``."""
 
 import argparse
 import asyncio
@@ -49,12 +49,17 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Play the trace live and print what became of it."""
+    """Send the trace to running gateways and print the results.
+
+    Returns ``FINDINGS`` if an answer was wrong, duplicated or cut short.
+    """
     options = replay.LiveOptions(
-        gateways=tuple(_url(url) for url in arguments.live),
+        gateways=tuple(_parse_url(url) for url in arguments.live),
         speed=arguments.speed,
         most_open=arguments.most_open,
-        fault_urls=dict(_target(text) for text in arguments.fault_target),
+        fault_urls=dict(
+            _parse_fault_target(text) for text in arguments.fault_target
+        ),
     )
     items = replay.read_trace(arguments.trace)
     result = asyncio.run(replay.LiveReplay(items, options).run())
@@ -67,7 +72,7 @@
     return exits.ExitCode.OK
 
 
-def _url(text: str) -> str:
+def _parse_url(text: str) -> str:
     try:
         return settings.parse_http_url(text)
     except ValueError as error:
@@ -76,26 +81,28 @@
         ) from error
 
 
-def _target(text: str) -> tuple[str, str]:
+def _parse_fault_target(text: str) -> tuple[str, str]:
     name, separator, url = text.partition('=')
     if not separator:
         raise exits.UserError(
             f'--fault-target: {text!r} is not NAME=URL',
             exits.ExitCode.INVALID,
         )
-    return name, _url(url)
+    return name, _parse_url(url)
 
 
 def _print_text(result: replay.LiveResult) -> None:
     for service in result.services:
         print(f'{service.service}: {service.requests} requests')
-        print(f'    outcomes: {_counts(service.verdicts)}')
+        print(f'    outcomes: {_format_counts(service.verdicts)}')
         print(f'    whole by their deadline: {service.on_time}')
         if service.errors:
-            print(f'    errors by kind: {_counts(service.errors)}')
-            print(f'    errors by whether it ran: {_counts(service.ran)}')
-        print(f'    first byte: {_durations(service.first_byte)}')
-        print(f'    whole answer: {_durations(service.response)}')
+            print(f'    errors by kind: {_format_counts(service.errors)}')
+            print(
+                f'    errors by whether it ran: {_format_counts(service.ran)}'
+            )
+        print(f'    first byte: {_format_durations(service.first_byte)}')
+        print(f'    whole answer: {_format_durations(service.response)}')
     if result.faults_begun or result.faults_skipped:
         print(
             f'faults: {result.faults_begun} begun, '
@@ -105,12 +112,12 @@
     print(f'live replay: {result.findings} findings')
 
 
-def _counts(counts: dict[str, int]) -> str:
+def _format_counts(counts: dict[str, int]) -> str:
     return ', '.join(f'{name} {count}' for name, count in counts.items())
 
 
-def _durations(figures: replay.Distribution) -> str:
+def _format_durations(distribution: replay.Distribution) -> str:
     return (
-        f'p50 {figures.p50_ms} ms, p95 {figures.p95_ms} ms, '
-        f'p99 {figures.p99_ms} ms, longest {figures.max_ms} ms'
+        f'p50 {distribution.p50_ms} ms, p95 {distribution.p95_ms} ms, '
+        f'p99 {distribution.p99_ms} ms, longest {distribution.max_ms} ms'
     )
--- a/berylhollow/ui/_log_options.py
+++ b/berylhollow/ui/_log_options.py
@@ -1,4 +1,4 @@
-"""What the commands that read the log have in common."""
+"""Arguments and clients shared by the commands that use the log."""
 
 import argparse
 import asyncio
@@ -12,27 +12,29 @@
 DEFAULT_TIMEOUT_S = 30.0
 
 Result = typing.TypeVar('Result')
-Action = collections.abc.Callable[
+PublisherAction = collections.abc.Callable[
     [publishing.Publisher], collections.abc.Awaitable[Result]
 ]
 
-LogAction = collections.abc.Callable[
+LogClientAction = collections.abc.Callable[
     [log_service.LogClient], collections.abc.Awaitable[Result]
 ]
 
 
-def add_platform(parser: argparse.ArgumentParser, held: str) -> None:
-    """Add the option for the platform whose log holds what is named."""
+def add_platform_argument(
+    parser: argparse.ArgumentParser, contents: str
+) -> None:
+    """Add ``--platform``; ``contents`` names what its log holds."""
     parser.add_argument(
         '--platform',
         required=True,
         metavar='URL',
-        help=f'the platform, whose log service holds the {held}',
+        help=f'the platform, whose log service holds the {contents}',
     )
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    add_platform(parser, 'configuration')
+    add_platform_argument(parser, 'configuration')
     parser.add_argument(
         '--timeout',
         type=float,
@@ -51,25 +53,25 @@
     )
 
 
-def with_publisher(
-    arguments: argparse.Namespace, action: Action[Result]
+def run_with_publisher(
+    arguments: argparse.Namespace, action: PublisherAction[Result]
 ) -> Result:
-    """Run an action with a publisher on the platform's log."""
+    """Run an action with a publisher that uses the platform's log."""
     timeout_ms = int(arguments.timeout * clocks.MS_PER_SECOND)
 
     async def publish(log: log_service.LogClient) -> Result:
         session = publishing.Session(log)
         return await action(publishing.Publisher(session, timeout_ms))
 
-    return with_log(arguments.platform, publish)
+    return run_with_log(arguments.platform, publish)
 
 
-def with_log(url: str, action: LogAction[Result]) -> Result:
-    """Run an action on the platform's log and close the client."""
-    return asyncio.run(_with_log(url, action))
+def run_with_log(url: str, action: LogClientAction[Result]) -> Result:
+    """Run an action with a client of the log, then close the client."""
+    return asyncio.run(_run_with_log(url, action))
 
 
-async def _with_log(url: str, action: LogAction[Result]) -> Result:
+async def _run_with_log(url: str, action: LogClientAction[Result]) -> Result:
     log = log_service.LogClient(url)
     try:
         return await action(log)
--- a/berylhollow/ui/_process_options.py
+++ b/berylhollow/ui/_process_options.py
@@ -1,4 +1,4 @@
-"""Options of the commands that run a process of the system."""
+"""Options of the commands that run a gateway or a sidecar."""
 
 import argparse
 import sys
@@ -6,17 +6,19 @@
 
 from berylhollow import logs
 from berylhollow import platform
-from berylhollow import settings as all_settings
+from berylhollow import settings
 from berylhollow.util import exits
 
 
-def add(parser: argparse.ArgumentParser, what: str) -> None:
-    """Add the options that say where the settings are."""
-    choice = parser.add_mutually_exclusive_group(required=True)
-    choice.add_argument(
-        '--settings', metavar='FILE', help=f'{what}, JSON with comments'
+def add_arguments(parser: argparse.ArgumentParser, settings_help: str) -> None:
+    """Add the options for the source of the process's settings."""
+    group = parser.add_mutually_exclusive_group(required=True)
+    group.add_argument(
+        '--settings',
+        metavar='FILE',
+        help=f'{settings_help}, JSON with comments',
     )
-    choice.add_argument(
+    group.add_argument(
         '--on-platform',
         action='store_true',
         help="take all from the users' platform, whose file the variable "
@@ -24,21 +26,21 @@
     )
 
 
-def settings(
-    arguments: argparse.Namespace, role: all_settings.Role
+def load_settings(
+    arguments: argparse.Namespace, role: settings.Role
 ) -> typing.Any:
-    """Return the checked settings and begin to log on standard error."""
-    checked = all_settings.load(arguments.settings, role)
-    logs.configure(checked.log.level, role, checked.instance)
-    return checked
+    """Load and validate the settings and start logging to stderr."""
+    loaded = settings.load(arguments.settings, role)
+    logs.configure(loaded.log.level, role, loaded.instance)
+    return loaded
 
 
-def node(
-    arguments: argparse.Namespace, role: all_settings.Role
+def load_node(
+    arguments: argparse.Namespace, role: settings.Role
 ) -> platform.Node:
-    """Return the platform's word and begin to log on standard output.
+    """Load the platform's node file and start logging to stdout.
 
-    Raises ``UserError`` that names every fault of its file.
+    Raises ``UserError`` listing every fault of the file.
     """
     path = platform.node_file()
     if path is None:
@@ -46,9 +48,7 @@
             f'{platform.NODE_FILE_VARIABLE} is not set',
             exits.ExitCode.INVALID,
         )
-    serves_callers = role is all_settings.Role.GATEWAY
+    serves_callers = role is settings.Role.GATEWAY
     loaded = platform.load(path, serves_callers)
-    logs.configure(
-        all_settings.LogLevel.INFO, role, loaded.instance, sys.stdout
-    )
+    logs.configure(settings.LogLevel.INFO, role, loaded.instance, sys.stdout)
     return loaded
--- a/berylhollow/ui/_program.py
+++ b/berylhollow/ui/_program.py
@@ -1,4 +1,4 @@
-"""Parse the command line, run one command and report its errors."""
+"""Parse the command line, run one command and print its errors."""
 
 import argparse
 import collections.abc
@@ -17,7 +17,7 @@
     '4 unavailable, 5 findings, 6 address in use, 70 stop timed out'
 )
 
-# What to tell a script, from what the error says may be done next.
+# Exit code for each kind of retry that an error allows.
 EXIT_CODES = {
     errors.Retry.CHANGED: exits.ExitCode.INVALID,
     errors.Retry.IF_IDEMPOTENT: exits.ExitCode.FAILURE,
@@ -29,28 +29,29 @@
 def main(argv: collections.abc.Sequence[str]) -> int:
     """Run the command in ``argv`` and return the exit code.
 
-    A ``UserError`` is printed on stderr, a line per fault. Any other exception
-    is a fault of ours: one line, with its traceback only under ``--debug``.
+    A ``UserError`` is printed on stderr, one line per fault. An unexpected
+    exception is printed as one line. ``--debug`` adds the traceback.
     """
     arguments = build_parser(argv).parse_args(argv)
     try:
         return int(arguments.run(arguments))
     except exits.UserError as error:
-        _report(error.message, arguments.debug)
+        _print_error(error.message, arguments.debug)
         return int(error.exit_code)
     except errors.BerylhollowError as error:
-        _report(str(error), arguments.debug)
+        _print_error(str(error), arguments.debug)
         return int(EXIT_CODES[error.answer.retry])
     except BrokenPipeError:
-        # The reader of our output (``| head``) has gone; nobody to tell.
+        # The reader of stdout (such as ``| head``) has exited. This is not an
+        # error of the command, so nothing is reported.
         sys.stderr.close()
         return int(exits.ExitCode.OK)
     except Exception as error:
-        _report(f'{type(error).__name__}: {error}', arguments.debug)
+        _print_error(f'{type(error).__name__}: {error}', arguments.debug)
         return int(exits.ExitCode.FAILURE)
 
 
-def _report(message: str, debug: bool) -> None:
+def _print_error(message: str, debug: bool) -> None:
     if debug:
         traceback.print_exc()
     for line in message.splitlines():
@@ -60,12 +61,12 @@
 def build_parser(
     argv: collections.abc.Sequence[str],
 ) -> argparse.ArgumentParser:
-    """Return the parser, complete for the one command that ``argv`` names.
+    """Return a parser with the arguments of the command in ``argv``.
 
-    The other commands are listed by name and help only. Their modules stay
-    unimported: a gateway has no memory to spare for what a report needs.
+    The other commands are listed by name and help only. Their modules are not
+    imported, as a gateway has no memory to spare for a report's libraries.
     """
-    parser = _parser(argparse.ArgumentParser, PROGRAM, None)
+    parser = _create_parser(argparse.ArgumentParser, PROGRAM, None)
     parser.description = berylhollow.__doc__
     parser.add_argument(
         '--version',
@@ -75,17 +76,17 @@
     parser.add_argument(
         '--debug', action='store_true', help='show tracebacks of errors'
     )
-    chosen = _chosen(argv)
-    subparsers = {(): _subparsers(parser)}
+    selected = _find_command(argv)
+    subparsers = {(): _add_subparsers(parser)}
     for command in commands.COMMANDS:
         group = command.words[:-1]
         if group not in subparsers:
             subparsers[group] = _add_group(subparsers[()], group[0])
-        _add_command(subparsers[group], command, command is chosen)
+        _add_command(subparsers[group], command, command is selected)
     return parser
 
 
-def _chosen(
+def _find_command(
     argv: collections.abc.Sequence[str],
 ) -> commands.Command | None:
     words = tuple(word for word in argv if not word.startswith('-'))
@@ -95,7 +96,7 @@
     return None
 
 
-def _subparsers(parser):
+def _add_subparsers(parser):
     return parser.add_subparsers(
         title='commands', metavar='COMMAND', required=True
     )
@@ -103,12 +104,18 @@
 
 def _add_group(subparsers, name: str):
     summary = commands.GROUPS[name]
-    return _subparsers(_parser(subparsers.add_parser, name, summary))
+    return _add_subparsers(
+        _create_parser(subparsers.add_parser, name, summary)
+    )
 
 
-def _add_command(subparsers, command: commands.Command, chosen: bool) -> None:
-    parser = _parser(subparsers.add_parser, command.words[-1], command.help)
-    if not chosen:
+def _add_command(
+    subparsers, command: commands.Command, is_selected: bool
+) -> None:
+    parser = _create_parser(
+        subparsers.add_parser, command.words[-1], command.help
+    )
+    if not is_selected:
         return
     module = importlib.import_module(command.module)
     parser.epilog = f'example:\n  {module.EXAMPLE}\n\n{EXIT_CODES_NOTE}'
@@ -122,13 +129,13 @@
     parser.set_defaults(run=module.run)
 
 
-def _parser(factory, name: str, summary: str | None):
-    words = {} if summary is None else {'help': summary}
-    parser = factory(
+def _create_parser(create, name: str, summary: str | None):
+    keywords = {} if summary is None else {'help': summary}
+    parser = create(
         name,
         formatter_class=argparse.RawDescriptionHelpFormatter,
         allow_abbrev=False,
-        **words,
+        **keywords,
     )
     if summary is not None:
         parser.description = f'{summary[0].upper()}{summary[1:]}.'
--- a/berylhollow/ui/_quarantine_log.py
+++ b/berylhollow/ui/_quarantine_log.py
@@ -1,4 +1,4 @@
-"""What the commands about quarantine have in common: the log's stream."""
+"""Access to the quarantine stream of the log, for the commands."""
 
 import argparse
 import typing
@@ -12,26 +12,29 @@
 Result = typing.TypeVar('Result')
 
 
-def add_platform(parser: argparse.ArgumentParser) -> None:
-    _log_options.add_platform(parser, 'quarantine stream')
+def add_platform_argument(parser: argparse.ArgumentParser) -> None:
+    _log_options.add_platform_argument(parser, 'quarantine stream')
 
 
-def with_log(url: str, action: _log_options.LogAction[Result]) -> Result:
-    """Run an action on the log; say in one line if it gives no answer."""
+def run_with_log(
+    url: str, action: _log_options.LogClientAction[Result]
+) -> Result:
+    """Run an action on the log; raise ``UserError`` if a call fails."""
     try:
-        return _log_options.with_log(url, action)
+        return _log_options.run_with_log(url, action)
     except outgoing.CallError as error:
         raise exits.UserError(
-            f'the log gave no answer: {error}', exits.ExitCode.UNAVAILABLE
+            f'the log service did not answer: {error}',
+            exits.ExitCode.UNAVAILABLE,
         ) from error
 
 
-async def read_all(log: log_service.LogClient) -> list[quarantine.Record]:
-    """Return the records of the stream that are kept, oldest first.
+async def read_records(log: log_service.LogClient) -> list[quarantine.Record]:
+    """Return the records that the stream still holds, oldest first.
 
-    A record that is not understood is passed over, as gateways do.
+    A record that can't be decoded is skipped, as gateways do.
     """
-    found: list[quarantine.Record] = []
+    records: list[quarantine.Record] = []
     offset = 0
     while True:
         try:
@@ -40,10 +43,10 @@
             offset = gone.first_offset
             continue
         if not page.records:
-            return found
+            return records
         for record in page.records:
             offset = record.offset + 1
             try:
-                found.append(quarantine.decode(record.data))
+                records.append(quarantine.decode(record.data))
             except quarantine.RecordError:
                 continue
--- a/berylhollow/ui/_standin.py
+++ b/berylhollow/ui/_standin.py
@@ -1,4 +1,4 @@
-"""What the commands of the group ``stand-in`` share."""
+"""Arguments and start-up shared by the ``stand-in`` commands."""
 
 import argparse
 import collections.abc
@@ -22,9 +22,9 @@
     role: settings.Role,
     make_application: collections.abc.Callable[..., web.Application],
 ) -> int:
-    """Serve the stand-in of a role until the process is told to stop."""
-    # aiomisc looks at the descriptor of stderr when it is imported; a help
-    # text is no reason to need one.
+    """Serve the stand-in for a role until a signal stops the process."""
+    # Imported here because importing aiomisc needs a file descriptor for
+    # stderr, which printing a help text must not depend on.
     from berylhollow.standin import http_service
     from berylhollow.util import loop
 
--- a/berylhollow/ui/commands.py
+++ b/berylhollow/ui/commands.py
@@ -1,11 +1,11 @@
-"""The table of commands; adding a command is one line here."""
+"""The table of commands; a new command needs one entry here."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class Command:
-    """A command of the program.
+    """A command of the program and the module that implements it.
 
     ``name`` is one word, or two for a command of a group. The module at
     ``module`` has ``EXAMPLE`` (a command line shown by ``--help``),
--- a/berylhollow/ui/gateway_command.py
+++ b/berylhollow/ui/gateway_command.py
@@ -1,4 +1,4 @@
-"""The command ``gateway``: serve callers until told to stop."""
+"""The command ``gateway``: serve callers until a signal stops it."""
 
 import argparse
 
@@ -9,18 +9,18 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    _process_options.add(parser, 'settings of the gateway')
+    _process_options.add_arguments(parser, 'settings of the gateway')
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Serve; a taken port exits with code 6."""
+    """Run the gateway; exit with code 6 if its port is in use."""
     if arguments.settings is None:
-        node = _process_options.node(arguments, settings.Role.GATEWAY)
+        node = _process_options.load_node(arguments, settings.Role.GATEWAY)
         from berylhollow.hosted import gateway_process
 
         return gateway_process.serve(node)
-    checked = _process_options.settings(arguments, settings.Role.GATEWAY)
-    # Imported only now: faults in the settings are told at once.
+    loaded = _process_options.load_settings(arguments, settings.Role.GATEWAY)
+    # Imported late so that faults in the settings are reported quickly.
     from berylhollow.gateway import service
 
-    return service.serve(checked)
+    return service.serve(loaded)
--- a/berylhollow/ui/plan_command.py
+++ b/berylhollow/ui/plan_command.py
@@ -20,13 +20,13 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print a line per change and the revision that was compared with."""
-    wanted = manifest.load(arguments.file)
+    """Print a line per change, then their count and the base revision."""
+    declared = manifest.load(arguments.file)
 
     async def compare(publisher: publishing.Publisher) -> publishing.Plan:
-        return await publisher.plan(wanted, arguments.base)
+        return await publisher.plan(declared, arguments.base)
 
-    plan = _log_options.with_publisher(arguments, compare)
+    plan = _log_options.run_with_publisher(arguments, compare)
     for line in publishing.describe_deltas(plan):
         print(line)
     print(f'{len(plan.deltas)} changes against revision {plan.base.revision}')
--- a/berylhollow/ui/publish_command.py
+++ b/berylhollow/ui/publish_command.py
@@ -26,21 +26,21 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Say which revision was accepted; a conflict exits with code 3."""
-    wanted = manifest.load(arguments.file)
+    """Print the accepted revision; exit with code 3 on a conflict."""
+    declared = manifest.load(arguments.file)
     operator = arguments.operator or _user_name()
 
     async def publish(publisher: publishing.Publisher) -> str:
-        plan = await publisher.plan(wanted, arguments.base)
+        plan = await publisher.plan(declared, arguments.base)
         if not plan.deltas:
             return f'nothing to change at revision {plan.base.revision}'
-        revision = await publisher.publish(plan, wanted, operator)
+        revision = await publisher.publish(plan, declared, operator)
         return (
             f'accepted: revision {revision}, {len(plan.deltas)} changes '
             f'against revision {plan.base.revision}'
         )
 
-    print(_log_options.with_publisher(arguments, publish))
+    print(_log_options.run_with_publisher(arguments, publish))
     return exits.ExitCode.OK
 
 
@@ -48,5 +48,5 @@
     try:
         return getpass.getuser()
     except (KeyError, OSError):
-        # An account without a name, as in many containers.
+        # The user id has no account name, as in many containers.
         return 'unknown'
--- a/berylhollow/ui/quarantine_lift_command.py
+++ b/berylhollow/ui/quarantine_lift_command.py
@@ -18,16 +18,16 @@
     parser.add_argument(
         '--operator', required=True, help='who lifts it, for the record'
     )
-    _quarantine_log.add_platform(parser)
+    _quarantine_log.add_platform_argument(parser)
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Put a lift on the log; gateways read it at their next poll."""
+    """Append a lift to the log; gateways read it at their next poll."""
     lift = quarantine.Lift(arguments.fingerprint, arguments.operator)
 
     async def append(log: log_service.LogClient) -> int:
         return await log.append(quarantine.STREAM, quarantine.encode(lift))
 
-    offset = _quarantine_log.with_log(arguments.platform, append)
+    offset = _quarantine_log.run_with_log(arguments.platform, append)
     print(f'lifted: {arguments.fingerprint} at offset {offset}')
     return exits.ExitCode.OK
--- a/berylhollow/ui/quarantine_list_command.py
+++ b/berylhollow/ui/quarantine_list_command.py
@@ -10,22 +10,26 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    _quarantine_log.add_platform(parser)
+    _quarantine_log.add_platform_argument(parser)
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print a line a fingerprint: crashes, those alone, and its service."""
-    records = _quarantine_log.with_log(
-        arguments.platform, _quarantine_log.read_all
+    """Print a line per fingerprint with its service and crash counts.
+
+    ``alone`` counts the crashes with this request as the only suspect.
+    """
+    records = _quarantine_log.run_with_log(
+        arguments.platform, _quarantine_log.read_records
     )
-    crashes = _crashes_by_fingerprint(records)
-    for fingerprint, found in crashes.items():
-        alone = sum(len(crash.fingerprints) == 1 for crash in found)
+    by_fingerprint = _crashes_by_fingerprint(records)
+    for fingerprint, crashes in by_fingerprint.items():
+        only_suspect = sum(len(crash.fingerprints) == 1 for crash in crashes)
         print(
-            f'{fingerprint}  service {found[-1].service}  '
-            f'crashes {len(found)}  alone {alone}  last {found[-1].crash_id}'
+            f'{fingerprint}  service {crashes[-1].service}  '
+            f'crashes {len(crashes)}  alone {only_suspect}  '
+            f'last {crashes[-1].crash_id}'
         )
-    if not crashes:
+    if not by_fingerprint:
         print('no request is suspect')
     return exits.ExitCode.OK
 
--- a/berylhollow/ui/replay_command.py
+++ b/berylhollow/ui/replay_command.py
@@ -1,4 +1,4 @@
-"""The command ``replay``: a trace through the reducers, or live."""
+"""The command ``replay``: run a trace on a virtual clock, or live."""
 
 import argparse
 import dataclasses
@@ -43,7 +43,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print what became of the trace, for each service."""
+    """Replay the trace and print the results of each service."""
     if arguments.live:
         return _live_replay.run(arguments)
     if arguments.settings is None:
@@ -53,17 +53,17 @@
     path = pathlib.Path(arguments.settings)
     declared = settings.load(path, settings.Role.REPLAY)
     items = replay.read_trace(arguments.trace)
-    chosen = arguments.policy or declared.policy
-    if chosen not in policy.POLICIES:
+    policy_name = arguments.policy or declared.policy
+    if policy_name not in policy.POLICIES:
         raise exits.UserError(
-            f'policy: there is no {chosen!r}, only '
+            f'policy: {policy_name!r} does not exist, only '
             + ', '.join(policy.POLICIES),
             exits.ExitCode.INVALID,
         )
-    given = replay.load_manifest(path, declared)
-    view = replay.configure(given, declared, items)
+    deployment_manifest = replay.load_manifest(path, declared)
+    view = replay.configure(deployment_manifest, declared, items)
     results = replay.Replay(
-        declared, view, items, chosen, arguments.seed
+        declared, view, items, policy_name, arguments.seed
     ).run()
     rows = [dataclasses.asdict(result) for result in results]
     if arguments.format == 'json':
--- a/berylhollow/ui/settings_command.py
+++ b/berylhollow/ui/settings_command.py
@@ -1,4 +1,4 @@
-"""The command ``settings``: list every option."""
+"""The command ``settings``: list every option or check a file."""
 
 import argparse
 import dataclasses
--- a/berylhollow/ui/settle_command.py
+++ b/berylhollow/ui/settle_command.py
@@ -1,4 +1,4 @@
-"""The command ``settle``: what became of a change with a lost answer."""
+"""The command ``settle``: the outcome of a change whose answer was lost."""
 
 import argparse
 
@@ -18,11 +18,11 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Say what became of the change, with the exit codes of publish."""
+    """Print the outcome of the change; exit codes are those of publish."""
 
     async def settle(publisher: publishing.Publisher) -> int:
         return await publisher.settle_earlier(arguments.change)
 
-    revision = _log_options.with_publisher(arguments, settle)
+    revision = _log_options.run_with_publisher(arguments, settle)
     print(f'accepted: revision {revision}')
     return exits.ExitCode.OK
--- a/berylhollow/ui/sidecar_command.py
+++ b/berylhollow/ui/sidecar_command.py
@@ -1,4 +1,4 @@
-"""The command ``sidecar``: serve beside an endpoint until told to stop."""
+"""The command ``sidecar``: serve beside an endpoint until stopped."""
 
 import argparse
 
@@ -9,18 +9,21 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    _process_options.add(parser, 'settings of the sidecar')
+    _process_options.add_arguments(parser, 'settings of the sidecar')
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Serve; a taken port exits with code 6 before anything is ordered."""
+    """Run the sidecar.
+
+    A port in use exits with code 6 before the endpoint receives any command.
+    """
     if arguments.settings is None:
-        node = _process_options.node(arguments, settings.Role.SIDECAR)
+        node = _process_options.load_node(arguments, settings.Role.SIDECAR)
         from berylhollow.hosted import loader_process
 
         return loader_process.serve(node)
-    checked = _process_options.settings(arguments, settings.Role.SIDECAR)
-    # Imported only now: faults in the settings are told at once.
+    loaded = _process_options.load_settings(arguments, settings.Role.SIDECAR)
+    # Imported late so that faults in the settings are reported quickly.
     from berylhollow.sidecar import service
 
-    return service.serve(checked)
+    return service.serve(loaded)
--- a/berylhollow/ui/standin_engine.py
+++ b/berylhollow/ui/standin_engine.py
@@ -1,4 +1,4 @@
-"""The command ``stand-in engine``."""
+"""The command ``stand-in engine``: serve a stand-in until stopped."""
 
 import argparse
 
@@ -12,7 +12,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Serve until the process is told to stop."""
+    """Serve until a signal stops the process."""
     return _standin.run(
         arguments, settings.Role.ENGINE, engine_server.make_application
     )
--- a/berylhollow/ui/standin_service.py
+++ b/berylhollow/ui/standin_service.py
@@ -1,4 +1,4 @@
-"""The command ``stand-in service``."""
+"""The command ``stand-in service``: serve a stand-in until stopped."""
 
 import argparse
 
@@ -14,7 +14,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Serve until the process is told to stop."""
+    """Serve until a signal stops the process."""
     return _standin.run(
         arguments, settings.Role.SERVICE, service_server.make_application
     )
--- a/berylhollow/ui/status_command.py
+++ b/berylhollow/ui/status_command.py
@@ -15,14 +15,18 @@
     'berylhollow status --gateway http://127.0.0.1:8080 '
     '--platform http://127.0.0.1:8001'
 )
-TIMEOUT_MS = 3000
+CALL_TIMEOUT_MS = 3000
 FORMATS = ('text', 'json')
-ROW = '{:<24} {:<9} {:>9}  {}'
+ROW_FORMAT = '{:<24} {:<9} {:>9}  {}'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Row:
-    """One process; ``source`` is who told, ``notes`` what is wrong."""
+class ProcessRow:
+    """The revision that a process runs, as reported by some instance.
+
+    ``source`` is the instance that reported it, ``notes`` are remarks on the
+    report, such as its age or a fault.
+    """
 
     instance: str
     role: str
@@ -54,16 +58,20 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print a line per process; code 4 if no gateway answered."""
+    """Print a line per process.
+
+    Exits with code 4 if no gateway answered, with code 5 if a process runs an
+    older revision than expected.
+    """
     pages = asyncio.run(_read_pages(arguments.gateway))
-    rows = merge(row for page in pages for row in rows_of(page))
-    in_force = _in_force(arguments)
+    rows = merge_rows(row for page in pages for row in parse_rows(page))
+    in_force = _read_revision_in_force(arguments)
     if arguments.format == 'json':
         print(json.dumps([dataclasses.asdict(row) for row in rows], indent=2))
     else:
         _print_text(rows, in_force)
-    wanted = arguments.expect
-    if wanted is not None and any(row.revision < wanted for row in rows):
+    expected = arguments.expect
+    if expected is not None and any(row.revision < expected for row in rows):
         return exits.ExitCode.FINDINGS
     return exits.ExitCode.OK
 
@@ -85,30 +93,34 @@
 async def _read_page(session, url: str) -> dict | None:
     try:
         reply = await outgoing.call(
-            session, 'GET', f'{url.rstrip("/")}/status', TIMEOUT_MS
+            session, 'GET', f'{url.rstrip("/")}/status', CALL_TIMEOUT_MS
         )
         return reply.value()
     except outgoing.CallError:
         return None
 
 
-def rows_of(page: dict) -> collections.abc.Iterator[Row]:
-    """Yield what the status page of a gateway tells of each process."""
+def parse_rows(page: dict) -> collections.abc.Iterator[ProcessRow]:
+    """Yield a row for each process on the status page of a gateway."""
     name = page['instance']
     configuration = page['configuration']
-    notes = tuple(_notes(configuration))
-    yield Row(name, 'gateway', configuration['revision'], name, notes)
+    notes = tuple(_configuration_notes(configuration))
+    yield ProcessRow(name, 'gateway', configuration['revision'], name, notes)
     for peer in configuration['gateways']:
         notes = (f'told {name} {peer["told_ms"]} ms ago',)
-        yield Row(peer['instance'], 'gateway', peer['revision'], name, notes)
+        yield ProcessRow(
+            peer['instance'], 'gateway', peer['revision'], name, notes
+        )
     for endpoint in page['endpoints']:
         is_open = endpoint['link'] == 'open'
         notes = () if is_open else (f'no link to {name}',)
         revision = endpoint['revision']
-        yield Row(endpoint['instance'], 'endpoint', revision, name, notes)
+        yield ProcessRow(
+            endpoint['instance'], 'endpoint', revision, name, notes
+        )
 
 
-def _notes(configuration: dict) -> collections.abc.Iterator[str]:
+def _configuration_notes(configuration: dict) -> collections.abc.Iterator[str]:
     if configuration['stopped']:
         yield f'cannot judge the next change: {configuration["stopped"]}'
     if configuration['gap']:
@@ -119,37 +131,41 @@
         yield f'as of {configuration["age_ms"]} ms ago'
 
 
-def merge(rows: collections.abc.Iterable[Row]) -> list[Row]:
-    """Return one row a process: its own word, or else the newest one."""
-    best: dict[str, Row] = {}
+def merge_rows(rows: collections.abc.Iterable[ProcessRow]) -> list[ProcessRow]:
+    """Return one row per process.
+
+    A row that the process itself reported comes first, then the row with the
+    highest revision.
+    """
+    best: dict[str, ProcessRow] = {}
     for row in rows:
         known = best.get(row.instance)
-        if known is None or _weight(row) > _weight(known):
+        if known is None or _precedence(row) > _precedence(known):
             best[row.instance] = row
     return sorted(best.values(), key=lambda row: (row.role, row.instance))
 
 
-def _weight(row: Row) -> tuple[bool, int]:
+def _precedence(row: ProcessRow) -> tuple[bool, int]:
     return row.source == row.instance, row.revision
 
 
-def _in_force(arguments: argparse.Namespace) -> int | None:
+def _read_revision_in_force(arguments: argparse.Namespace) -> int | None:
     if arguments.platform is None:
         return None
-    arguments.timeout = TIMEOUT_MS / 1000
+    arguments.timeout = CALL_TIMEOUT_MS / 1000
 
     async def read(publisher: publishing.Publisher) -> int:
         await publisher.session.catch_up(publisher.timeout_ms)
         return publisher.session.state.configuration.revision
 
-    return _log_options.with_publisher(arguments, read)
+    return _log_options.run_with_publisher(arguments, read)
 
 
-def _print_text(rows: list[Row], in_force: int | None) -> None:
+def _print_text(rows: list[ProcessRow], in_force: int | None) -> None:
     if in_force is not None:
         print(f'in force by the log: revision {in_force}')
-    print(ROW.format('instance', 'role', 'revision', 'notes').rstrip())
+    print(ROW_FORMAT.format('instance', 'role', 'revision', 'notes').rstrip())
     for row in rows:
         notes = '; '.join(row.notes)
-        line = ROW.format(row.instance, row.role, row.revision, notes)
+        line = ROW_FORMAT.format(row.instance, row.role, row.revision, notes)
         print(line.rstrip())
--- a/berylhollow/ui/validate_command.py
+++ b/berylhollow/ui/validate_command.py
@@ -9,9 +9,9 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    chosen = parser.add_mutually_exclusive_group(required=True)
-    chosen.add_argument('file', nargs='?', help='manifest to check')
-    chosen.add_argument(
+    group = parser.add_mutually_exclusive_group(required=True)
+    group.add_argument('file', nargs='?', help='manifest to check')
+    group.add_argument(
         '--schema',
         action='store_true',
         help='print the JSON Schema of a manifest instead',
@@ -19,7 +19,10 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Name every fault of the file and exit with code 2 if there is one."""
+    """Print the counts of a valid manifest, or the schema.
+
+    An invalid manifest exits with code 2 and a line per fault.
+    """
     if arguments.schema:
         print(manifest.schema_text(), end='')
         return exits.ExitCode.OK
--- a/test/ui/test_manifest_commands.py
+++ b/test/ui/test_manifest_commands.py
@@ -1,4 +1,4 @@
-"""Tests of validate, plan, publish and settle against a served platform."""
+"""Tests of validate, plan, publish and settle on a stand-in platform."""
 
 import asyncio
 import json
@@ -23,9 +23,9 @@
         self.url = await self.serve_platform()
         folder = self.stack.enter_context(tempfile.TemporaryDirectory())
         self.path = os.path.join(folder, 'manifest.jsonc')
-        self.write(json.dumps(MANIFEST))
+        self.write_manifest(json.dumps(MANIFEST))
 
-    def write(self, text):
+    def write_manifest(self, text):
         with open(self.path, 'w', encoding='utf-8') as file:
             file.write(text)
 
@@ -55,7 +55,7 @@
         self.assertIn('revision 1 by ana', err)
 
     async def test_an_invalid_file_is_not_published(self):
-        self.write('{"services": [{"name": "x"}], "more": 1}')
+        self.write_manifest('{"services": [{"name": "x"}], "more": 1}')
         code, _, err = await self.run_command('publish', self.path)
         self.assertEqual(code, exits.ExitCode.INVALID)
         self.assertIn('more: is not known', err)
@@ -72,7 +72,7 @@
         code, out, _ = test_program.run('validate', self.path)
         self.assertEqual(code, exits.ExitCode.OK)
         self.assertIn('1 services, 1 adapters', out)
-        self.write('{"services": 1}')
+        self.write_manifest('{"services": 1}')
         code, _, err = test_program.run('validate', self.path)
         self.assertEqual(code, exits.ExitCode.INVALID)
         self.assertIn('services: must be an array', err)
--- a/test/ui/test_program.py
+++ b/test/ui/test_program.py
@@ -1,4 +1,4 @@
-"""Tests of the program: choice of command, errors and exit codes."""
+"""Tests of the program: command selection, errors and exit codes."""
 
 import contextlib
 import importlib
@@ -27,7 +27,7 @@
     return code, out.getvalue(), err.getvalue()
 
 
-def command_that_raises(error):
+def patch_command_to_raise(error):
     module = types.SimpleNamespace(
         EXAMPLE='', add_arguments=lambda parser: None
     )
@@ -50,13 +50,13 @@
 
     def test_user_error_is_one_line(self):
         error = ui.UserError('no such file', exits.ExitCode.CONFLICT)
-        with command_that_raises(error):
+        with patch_command_to_raise(error):
             code, _, err = run('settings')
         self.assertEqual(code, 3)
         self.assertEqual(err, 'berylhollow: no such file\n')
 
-    def test_own_fault_is_one_line_without_debug(self):
-        with command_that_raises(KeyError('x')):
+    def test_unexpected_error_is_one_line_without_debug(self):
+        with patch_command_to_raise(KeyError('x')):
             code, _, err = run('settings')
         self.assertEqual(code, 1)
         self.assertEqual(err, "berylhollow: KeyError: 'x'\n")
@@ -65,13 +65,13 @@
         kinds = errors.Kind
         for kind, expected in ((kinds.LEAVING, 4), (kinds.BAD_REQUEST, 2)):
             error = errors.BerylhollowError(kind, 'why')
-            with command_that_raises(error):
+            with patch_command_to_raise(error):
                 code, _, err = run('settings')
             self.assertEqual((code, err), (expected, 'berylhollow: why\n'))
 
     def test_debug_shows_the_traceback(self):
         for argv in (('--debug', 'settings'), ('settings', '--debug')):
-            with command_that_raises(KeyError('x')):
+            with patch_command_to_raise(KeyError('x')):
                 _, _, err = run(*argv)
             self.assertIn('Traceback', err)
 
@@ -83,8 +83,8 @@
                 self.assertIn('example:\n  berylhollow ', out)
 
     def test_other_commands_stay_unimported(self):
-        # A gateway that also holds what the report draws with would not fit
-        # its memory; the table must name modules, not import them.
+        # A gateway that also loads the report's plotting library would exceed
+        # its memory limit, so the table must name modules, not import them.
         modules = [command.module for command in commands.COMMANDS]
         code = (
             'import sys\nfrom berylhollow import ui\n'
@@ -98,7 +98,7 @@
 
 
 class SettingsCommandTest(unittest.TestCase):
-    def test_json_has_every_fact(self):
+    def test_json_has_default_and_unit(self):
         code, out, _ = run('settings', 'gateway', '--format', 'json')
         self.assertEqual(code, 0)
         rows = {row['path']: row for row in json.loads(out)}
--- a/test/ui/test_quarantine_commands.py
+++ b/test/ui/test_quarantine_commands.py
@@ -11,8 +11,8 @@
 from berylhollow.util import exits
 
 
-class ModelClient:
-    """The log's client over the model, without a server."""
+class FakeLogClient:
+    """A log client that calls the log model directly, without a server."""
 
     def __init__(self, model):
         self.model = model
@@ -32,16 +32,16 @@
         self.model = log_model.LogModel()
         client = mock.patch(
             'berylhollow.log_service.LogClient',
-            lambda url: ModelClient(self.model),
+            lambda url: FakeLogClient(self.model),
         )
         client.start()
         self.addCleanup(client.stop)
 
-    def put(self, record):
+    def append_record(self, record):
         data = quarantine.encode(record)
         self.model.append(quarantine.STREAM, data, 0)
 
-    def call(self, *words):
+    def run_command(self, *words):
         out = io.StringIO()
         with contextlib.redirect_stdout(out):
             code = _program.main(
@@ -50,12 +50,12 @@
         self.assertEqual(exits.ExitCode.OK, code)
         return out.getvalue()
 
-    def test_list_shows_crashes_and_lift_ends_them(self):
-        self.put(quarantine.Crash('e1/1', 'modelos', ('f1', 'f2')))
-        self.put(quarantine.Crash('e2/1', 'modelos', ('f1',)))
+    def test_list_shows_crashes_and_lift_removes_them(self):
+        self.append_record(quarantine.Crash('e1/1', 'modelos', ('f1', 'f2')))
+        self.append_record(quarantine.Crash('e2/1', 'modelos', ('f1',)))
         self.model.append(quarantine.STREAM, b'\xff', 0)
-        listed = self.call('list')
+        listed = self.run_command('list')
         self.assertIn('f1  service modelos  crashes 2  alone 1', listed)
         self.assertIn('f2  service modelos  crashes 1  alone 0', listed)
-        self.call('lift', 'f1', '--operator', 'anna')
-        self.assertNotIn('f1', self.call('list'))
+        self.run_command('lift', 'f1', '--operator', 'anna')
+        self.assertNotIn('f1', self.run_command('list'))
--- a/test/ui/test_standin.py
+++ b/test/ui/test_standin.py
@@ -18,7 +18,7 @@
 
 
 class StandInCommandTest(unittest.TestCase):
-    def start(self, role, **options):
+    def start_stand_in(self, role, **options):
         values = {
             **standin_helper.COMMON,
             'instance': f'{role}-1',
@@ -39,7 +39,7 @@
         self.addCleanup(process.kill)
         return process
 
-    def test_each_serves_when_it_says_so_and_stops_with_0(self):
+    def test_each_serves_once_it_logs_its_address_and_exits_with_0(self):
         link = {'platform': {'url': PLATFORM_URL}}
         for role, options in (
             (settings.Role.PLATFORM, {}),
@@ -47,7 +47,7 @@
             (settings.Role.SERVICE, {}),
         ):
             with self.subTest(role):
-                process = self.start(role, **options)
+                process = self.start_stand_in(role, **options)
                 line = json.loads(process.stderr.readline())
                 address = line['message'].removeprefix('listening on ')
                 url = f'http://{address}/healthz'
@@ -57,14 +57,14 @@
                 self.assertEqual(process.wait(), exits.ExitCode.OK)
 
     def test_invalid_settings_start_nothing(self):
-        process = self.start(settings.Role.ENGINE)
+        process = self.start_stand_in(settings.Role.ENGINE)
         _, errors = process.communicate()
         self.assertEqual(process.returncode, exits.ExitCode.INVALID)
         self.assertIn('platform', errors)
 
-    def test_every_role_that_stands_in_has_a_command(self):
+    def test_every_stand_in_role_has_a_command(self):
         names = {command.name for command in commands.COMMANDS}
         roles = {f'stand-in {role}' for role in settings.Role}
-        # These are no stand-ins: two real processes, and no process.
+        # Not stand-ins: two real processes and a role without a process.
         roles -= {'stand-in gateway', 'stand-in sidecar', 'stand-in replay'}
         self.assertLessEqual(roles, names)
