--- a/berylhollow/link/__init__.py
+++ b/berylhollow/link/__init__.py
@@ -1,4 +1,4 @@
-"""Authenticated links between our own processes, carrying typed messages."""
+"""Authenticated links that carry typed messages between our processes."""
 
 from berylhollow.link._client import LinkClient
 from berylhollow.link._codec import Codec
--- a/berylhollow/link/_client.py
+++ b/berylhollow/link/_client.py
@@ -1,4 +1,4 @@
-"""The end of a link that connects."""
+"""The connecting end of a link."""
 
 import asyncio
 import logging
@@ -17,11 +17,11 @@
 
 
 class LinkClient:
-    """Connect to a peer once and report how it went.
+    """Connect to a peer once and report the outcome to the handler.
 
-    Whether to connect again is the owner's decision: a failure is reported
-    as ``link_down`` of ``link``, which then never was up. The
-    clients of a process should share one ``flusher``.
+    A failed attempt is reported by ``link_down`` for a ``link`` that never
+    was up; the owner decides whether to connect again. The clients of a
+    process should share one ``flusher``.
     """
 
     def __init__(
@@ -48,12 +48,12 @@
         self.task = None
 
     def start(self) -> _link.Link:
-        """Begin to connect, without waiting for the result."""
+        """Start to connect without waiting for the result."""
         self.task = asyncio.get_running_loop().create_task(self._run())
         return self.link
 
     async def wait(self) -> None:
-        """Return when the link is down and its handler has been told."""
+        """Wait until the link is down and its handler has been called."""
         await asyncio.shield(self.task)
 
     async def _run(self):
@@ -67,7 +67,7 @@
         except (OSError, exceptions.InvalidHandshake) as error:
             LOG.info('connect to %s: %s', self.link.address, error)
         finally:
-            self.link.down(reason)
+            self.link.report_down(reason)
 
     async def _connect(self):
         options = self.options
@@ -86,6 +86,6 @@
 
 
 def uri(host: str, port: int) -> str:
-    """Return the address to connect to, for either version of IP."""
+    """Return the websocket URI of an IPv4 or IPv6 host."""
     bracketed = f'[{host}]' if ':' in host else host
     return f'ws://{bracketed}:{port}/'
--- a/berylhollow/link/_codec.py
+++ b/berylhollow/link/_codec.py
@@ -1,15 +1,15 @@
-"""Turn messages into CBOR arrays and back, checking what a peer sends.
+"""Encode messages as CBOR arrays, and decode and validate them.
 
 A message is a frozen data class registered under a numeric tag. On the wire
 it is the array ``[tag, field, field, ...]`` in the order of its fields.
-Versions of the program differ during a rollout, so a field may only be added
-at the end, with a default:
+Two versions of the program run side by side during a rollout, so a field may
+only be added at the end, with a default:
 
 * an unknown tag, or an unknown value of an enum, is skipped and counted
   (the peer is newer);
 * a missing trailing field takes its default (the peer is older);
 * an extra trailing field is ignored (the peer is newer);
-* anything else that does not fit is a :class:`CodecError`.
+* any other mismatch raises a :class:`CodecError`.
 """
 
 import collections.abc
@@ -25,22 +25,22 @@
 from berylhollow import messages
 
 MAXIMUM_DEPTH = 16
-"""Nesting that a peer may send: our own messages need less than half."""
+"""Nesting accepted from a peer; our own messages need less than half."""
 
-_PLAIN = (int, str, bytes, bool)
+_PLAIN_TYPES = (int, str, bytes, bool)
 _LIST_START = b'\x9f'
 _LIST_END = b'\xff'
 
-JOIN_BYTES = len(_LIST_START) + len(_LIST_END)
-"""What ``join`` adds to its parts."""
+LIST_OVERHEAD_BYTES = len(_LIST_START) + len(_LIST_END)
+"""Bytes that ``join`` adds to the encoded values."""
 
 
 class CodecError(Exception):
-    """What a peer sent does not fit the declared messages."""
+    """Received data does not match the declared messages."""
 
 
 class UnknownValueError(CodecError):
-    """An enum value that only a newer version knows."""
+    """An enum value is not known to this version of the program."""
 
 
 _LOAD_ERRORS = (
@@ -51,28 +51,28 @@
     LookupError,
 )
 
-Convert = typing.Callable[[typing.Any], typing.Any]
+Converter = typing.Callable[[typing.Any], typing.Any]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FieldPlan:
-    """How one type travels; a plain type has ``exact`` and no encoder.
+class FieldCodec:
+    """Converters between the values of one type and their wire form.
 
-    ``exact`` is the type that needs no conversion when decoded, ``encode``
-    is None where the value travels as it is.
+    ``exact_type`` is the type that needs no conversion when decoded, or None.
+    ``encode`` is None if the value is sent unchanged.
     """
 
-    exact: type | None
-    encode: Convert | None
-    decode: Convert
+    exact_type: type | None
+    encode: Converter | None
+    decode: Converter
 
 
 class Codec:
     """Encode and decode the messages of one table of tags.
 
-    ``tags`` maps each tag to its data class. Raises TypeError at once for a
-    class with a field whose type can't travel. ``skipped`` counts what was
-    left out because only a newer version knows it.
+    ``tags`` maps each tag to its data class. The constructor raises
+    TypeError for a field whose type can't be encoded. ``skipped`` counts
+    the received messages with an unknown tag or enum value.
     """
 
     def __init__(self, tags: collections.abc.Mapping[int, type]):
@@ -82,9 +82,9 @@
         self.last_message = None
         self.last_encoded = b''
         for tag, cls in tags.items():
-            plan = _MessagePlan(tag, cls)
-            self.by_tag[tag] = plan
-            self.by_class[cls] = plan
+            codec = _DataClassCodec(tag, cls)
+            self.by_tag[tag] = codec
+            self.by_class[cls] = codec
 
     def encode(self, message) -> bytes:
         """Return the CBOR array of one message.
@@ -92,13 +92,14 @@
         Raises TypeError for a class that is not in the table.
         """
         if message is self.last_message:
-            # What goes to every peer is one object, which never changes. A
-            # report takes 28 us to encode, and sixty gateways are told it.
+            # A message to all peers is sent as the same immutable object, so
+            # it is encoded once. A report takes 28 us to encode, and is sent
+            # to sixty gateways.
             return self.last_encoded
-        plan = self.by_class.get(type(message))
-        if plan is None:
+        codec = self.by_class.get(type(message))
+        if codec is None:
             raise TypeError(f'{type(message).__name__} has no tag')
-        data = cbor2.dumps(plan.to_row(message))
+        data = cbor2.dumps(codec.to_array(message))
         self.last_message = message
         self.last_encoded = data
         return data
@@ -106,31 +107,31 @@
     def decode(self, data: bytes) -> list:
         """Return the known messages of a CBOR list of arrays.
 
-        Raises CodecError, in which case nothing of ``data`` is used.
+        Raises CodecError if any part of ``data`` is malformed.
         """
-        rows = load(data)
-        if type(rows) is not list:
+        arrays = load_cbor(data)
+        if type(arrays) is not list:
             raise CodecError('not a list of messages')
         known = []
-        for row in rows:
-            message = self.from_row(row)
+        for array in arrays:
+            message = self.from_array(array)
             if message is not None:
                 known.append(message)
         return known
 
-    def from_row(self, row):
-        """Return the message of one array, None for what is unknown."""
-        if type(row) is not list or not row or type(row[0]) is not int:
+    def from_array(self, array):
+        """Return the message of an array, or None if it is unknown."""
+        if type(array) is not list or not array or type(array[0]) is not int:
             raise CodecError('not an array with a tag')
-        plan = self.by_tag.get(row[0])
-        if plan is None:
+        codec = self.by_tag.get(array[0])
+        if codec is None:
             self.skipped += 1
             return None
-        # Most arrays need no conversion, above all those of tokens.
-        if [*map(type, row)] == plan.exact:
-            return plan.cls(*row[1:])
+        # Most arrays need no conversion, in particular those of tokens.
+        if [*map(type, array)] == codec.exact_types:
+            return codec.cls(*array[1:])
         try:
-            return plan.from_row(row)
+            return codec.from_array(array)
         except UnknownValueError:
             self.skipped += 1
             return None
@@ -138,64 +139,69 @@
 
 @functools.cache
 def shared() -> Codec:
-    """Return the codec of all declared messages, one for the process."""
+    """Return the codec of all declared messages that the process shares."""
     return Codec(messages.TAGS)
 
 
 def join(parts: collections.abc.Iterable[bytes]) -> bytes:
-    """Return the CBOR list of values that are encoded already."""
+    """Return a CBOR list of values that are already encoded."""
     return b''.join((_LIST_START, *parts, _LIST_END))
 
 
-def load(data: bytes):
+def load_cbor(data: bytes):
     """Return the CBOR value in ``data``, or raise CodecError."""
     try:
         return cbor2.loads(
             data, max_depth=MAXIMUM_DEPTH, allow_indefinite=True
         )
     except _LOAD_ERRORS as error:
-        # The library runs the decoders of dates, fractions and the like on
-        # tagged values; with hostile input those raise errors of their own.
+        # The library decodes tagged values such as dates and fractions, and
+        # these decoders raise other errors on hostile input.
         raise CodecError(f'not CBOR: {error}') from error
 
 
-class _MessagePlan:
-    """The wire form of one data class, worked out once."""
+class _DataClassCodec:
+    """Converter between a data class and its array, with or without a tag.
+
+    The field types are inspected once, in the constructor.
+    """
 
     def __init__(self, tag: int | None, cls: type):
         fields = dataclasses.fields(cls)
         hints = typing.get_type_hints(cls)
         self.cls = cls
-        self.head = () if tag is None else (tag,)
+        self.tag_prefix = () if tag is None else (tag,)
         self.names = [field.name for field in fields]
-        self.plans = [field_plan(hints[name]) for name in self.names]
+        self.field_codecs = [field_codec(hints[name]) for name in self.names]
         self.required = sum(1 for field in fields if not _has_default(field))
-        self.get = _getter(self.names)
-        self.plain = all(plan.encode is None for plan in self.plans)
-        self.exact = [int] * len(self.head)
-        self.exact += [plan.exact for plan in self.plans]
-
-    def to_row(self, message) -> tuple:
-        values = self.get(message)
-        if self.plain:
-            return (*self.head, *values)
-        row = list(self.head)
-        for plan, value in zip(self.plans, values, strict=True):
-            row.append(plan.encode(value) if plan.encode else value)
-        return tuple(row)
-
-    def from_row(self, row: list):
-        start = len(self.head)
-        count = min(len(row) - start, len(self.plans))
+        self.get_values = _values_getter(self.names)
+        self.is_plain = all(
+            codec.encode is None for codec in self.field_codecs
+        )
+        self.exact_types = [int] * len(self.tag_prefix)
+        self.exact_types += [codec.exact_type for codec in self.field_codecs]
+
+    def to_array(self, message) -> tuple:
+        values = self.get_values(message)
+        if self.is_plain:
+            return (*self.tag_prefix, *values)
+        array = list(self.tag_prefix)
+        for codec, value in zip(self.field_codecs, values, strict=True):
+            array.append(codec.encode(value) if codec.encode else value)
+        return tuple(array)
+
+    def from_array(self, array: list):
+        start = len(self.tag_prefix)
+        count = min(len(array) - start, len(self.field_codecs))
         if count < self.required:
             raise CodecError(f'{self.cls.__name__}: too few fields')
         return self.cls(
-            *(self._field(i, row[start + i]) for i in range(count))
+            *(self._field(i, array[start + i]) for i in range(count))
         )
 
     def _field(self, index: int, value):
         try:
-            return self.plans[index].decode(value)
+            return self.field_codecs[index].decode(value)
         except UnknownValueError:
             raise
         except CodecError as error:
@@ -205,42 +211,45 @@
     def from_value(self, value):
         if type(value) is not list:
             raise CodecError(f'{self.cls.__name__} is not an array')
-        return self.from_row(value)
+        return self.from_array(value)
 
 
-def field_plan(hint) -> FieldPlan:
-    """Return how a field annotated ``hint`` travels, or raise TypeError."""
-    if hint in _PLAIN:
-        return FieldPlan(hint, None, _exactly(hint))
+def field_codec(hint) -> FieldCodec:
+    """Return the codec of a field annotated with ``hint``.
+
+    Raises TypeError if the type can't be encoded.
+    """
+    if hint in _PLAIN_TYPES:
+        return FieldCodec(hint, None, _exact_type_decoder(hint))
     if hint is float:
-        return FieldPlan(float, None, _to_float)
+        return FieldCodec(float, None, _to_float)
     if hint is type(None):
-        return FieldPlan(type(None), None, _exactly(type(None)))
+        return FieldCodec(type(None), None, _exact_type_decoder(type(None)))
     if isinstance(hint, type) and issubclass(hint, enum.Enum):
-        return _enum_plan(hint)
+        return _enum_codec(hint)
     if dataclasses.is_dataclass(hint):
-        nested = _MessagePlan(None, hint)
-        return FieldPlan(None, nested.to_row, nested.from_value)
-    return _generic_plan(hint)
+        nested = _DataClassCodec(None, hint)
+        return FieldCodec(None, nested.to_array, nested.from_value)
+    return _generic_codec(hint)
 
 
-def _generic_plan(hint) -> FieldPlan:
+def _generic_codec(hint) -> FieldCodec:
     origin = typing.get_origin(hint)
     arguments = typing.get_args(hint)
     if origin in (typing.Union, types.UnionType):
-        return _optional_plan(hint, arguments)
+        return _optional_codec(hint, arguments)
     if origin is tuple and len(arguments) == 2 and arguments[1] is Ellipsis:
-        return _sequence_plan(tuple, arguments[0])
+        return _sequence_codec(tuple, arguments[0])
     if origin is tuple:
-        return _record_plan([field_plan(item) for item in arguments])
+        return _tuple_codec([field_codec(item) for item in arguments])
     if origin is frozenset:
-        return _sequence_plan(frozenset, arguments[0])
+        return _sequence_codec(frozenset, arguments[0])
     if origin in (dict, collections.abc.Mapping):
-        return _mapping_plan(*arguments)
-    raise TypeError(f'a field of type {hint!r} can not travel')
+        return _mapping_codec(*arguments)
+    raise TypeError(f'a field of type {hint!r} can not be encoded')
 
 
-def _exactly(cls: type) -> Convert:
+def _exact_type_decoder(cls: type) -> Converter:
     def decode(value):
         if type(value) is not cls:
             raise CodecError(f'{type(value).__name__} is not {cls.__name__}')
@@ -258,7 +267,7 @@
         raise CodecError('number too large for a float') from error
 
 
-def _enum_plan(cls: type[enum.Enum]) -> FieldPlan:
+def _enum_codec(cls: type[enum.Enum]) -> FieldCodec:
     def decode(value):
         if type(value) not in (int, str):
             raise CodecError(f'{type(value).__name__} is no {cls.__name__}')
@@ -267,76 +276,76 @@
         except ValueError as error:
             raise UnknownValueError(f'no {cls.__name__} {value!r}') from error
 
-    return FieldPlan(None, operator.attrgetter('value'), decode)
+    return FieldCodec(None, operator.attrgetter('value'), decode)
 
 
-def _optional_plan(hint, arguments) -> FieldPlan:
-    kept = [item for item in arguments if item is not type(None)]
-    if len(kept) != 1 or len(arguments) != 2:
-        raise TypeError(f'{hint!r}: only a union with None can travel')
-    inner = field_plan(kept[0])
+def _optional_codec(hint, arguments) -> FieldCodec:
+    members = [item for item in arguments if item is not type(None)]
+    if len(members) != 1 or len(arguments) != 2:
+        raise TypeError(f'{hint!r}: only a union with None can be encoded')
+    item_codec = field_codec(members[0])
 
     def encode(value):
-        return None if value is None else inner.encode(value)
+        return None if value is None else item_codec.encode(value)
 
     def decode(value):
-        return None if value is None else inner.decode(value)
+        return None if value is None else item_codec.decode(value)
 
-    return FieldPlan(None, encode if inner.encode else None, decode)
+    return FieldCodec(None, encode if item_codec.encode else None, decode)
 
 
-def _sequence_plan(cls: type, hint) -> FieldPlan:
-    inner = field_plan(hint)
+def _sequence_codec(cls: type, hint) -> FieldCodec:
+    item_codec = field_codec(hint)
 
     def encode(values):
-        if inner.encode is None:
+        if item_codec.encode is None:
             return list(values)
-        return [inner.encode(value) for value in values]
+        return [item_codec.encode(value) for value in values]
 
     def decode(values):
         if type(values) is not list:
             raise CodecError(f'{type(values).__name__} is not an array')
-        return cls(inner.decode(value) for value in values)
+        return cls(item_codec.decode(value) for value in values)
 
-    return FieldPlan(None, encode, decode)
+    return FieldCodec(None, encode, decode)
 
 
-def _record_plan(plans: list[FieldPlan]) -> FieldPlan:
+def _tuple_codec(codecs: list[FieldCodec]) -> FieldCodec:
     def encode(values):
         return [
-            plan.encode(value) if plan.encode else value
-            for plan, value in zip(plans, values, strict=True)
+            codec.encode(value) if codec.encode else value
+            for codec, value in zip(codecs, values, strict=True)
         ]
 
     def decode(values):
-        if type(values) is not list or len(values) != len(plans):
-            raise CodecError(f'not an array of {len(plans)}')
-        pairs = zip(plans, values, strict=True)
-        return tuple(plan.decode(value) for plan, value in pairs)
+        if type(values) is not list or len(values) != len(codecs):
+            raise CodecError(f'not an array of {len(codecs)}')
+        pairs = zip(codecs, values, strict=True)
+        return tuple(codec.decode(value) for codec, value in pairs)
 
-    return FieldPlan(None, encode, decode)
+    return FieldCodec(None, encode, decode)
 
 
-def _mapping_plan(key_hint, value_hint) -> FieldPlan:
-    key_plan = field_plan(key_hint)
-    value_plan = field_plan(value_hint)
-    if key_plan.exact not in (str, int):
+def _mapping_codec(key_hint, value_hint) -> FieldCodec:
+    key_codec = field_codec(key_hint)
+    value_codec = field_codec(value_hint)
+    if key_codec.exact_type not in (str, int):
         raise TypeError('only str and int can be keys')
 
     def encode(mapping):
-        if value_plan.encode is None:
+        if value_codec.encode is None:
             return dict(mapping)
-        return {key: value_plan.encode(mapping[key]) for key in mapping}
+        return {key: value_codec.encode(mapping[key]) for key in mapping}
 
     def decode(mapping):
         if type(mapping) is not dict:
             raise CodecError(f'{type(mapping).__name__} is not a map')
         return {
-            key_plan.decode(key): value_plan.decode(value)
+            key_codec.decode(key): value_codec.decode(value)
             for key, value in mapping.items()
         }
 
-    return FieldPlan(None, encode, decode)
+    return FieldCodec(None, encode, decode)
 
 
 def _has_default(field: dataclasses.Field) -> bool:
@@ -346,7 +355,7 @@
     )
 
 
-def _getter(names: list[str]) -> Convert:
+def _values_getter(names: list[str]) -> Converter:
     if not names:
         return lambda message: ()
     if len(names) == 1:
--- a/berylhollow/link/_connection.py
+++ b/berylhollow/link/_connection.py
@@ -1,10 +1,10 @@
-"""Websocket connections that hand frames over without a task in between.
+"""Websocket connections that deliver frames by a direct callback.
 
-The library delivers frames through a queue to a task that waits, and sends
-from a coroutine. For one token a frame, as when a gateway's streams come
-from as many sidecars, that costs more than the frame itself. These classes
-take frames from the library's protocol as it reads them and write at once;
-opening, keepalive and closing stay the library's.
+The library delivers frames through a queue to a waiting task, and sends
+from a coroutine. With one token per frame, as when each stream of a gateway
+comes from another sidecar, that costs more than the frame itself. These
+classes deliver frames as the library's protocol parses them, and write at
+once. The library still opens, keeps alive and closes the connections.
 """
 
 import typing
@@ -14,41 +14,44 @@
 from websockets import frames
 from websockets import protocol
 
-EARLY_FRAMES = 2
-"""Frames kept for a receiver that is not attached yet; more are refused."""
+MAXIMUM_EARLY_FRAMES = 2
+"""Frames buffered until a receiver is attached.
+
+A peer that sends more is disconnected.
+"""
 
 
 class Receiver(typing.Protocol):
-    """What a connection reports to; called from the event loop."""
+    """Callbacks of a connection, called from the event loop."""
 
-    def frame(self, data: bytes) -> None:
-        """Take the payload of one frame, empty if it is not binary."""
+    def frame_received(self, data: bytes) -> None:
+        """Handle the payload of a frame, empty if it is not binary."""
 
     def flush(self) -> None:
-        """Learn that writing may go on after ``paused``."""
+        """Resume writing after the connection was ``paused``."""
 
-    def lost(self) -> None:
-        """Learn that the connection is closed."""
+    def connection_closed(self) -> None:
+        """Handle the end of the connection."""
 
 
-class _Direct:
-    """Mixed into the library's connections; see the module."""
+class _DirectDelivery:
+    """Mixin for the library's connections that bypasses its queue."""
 
     receiver: Receiver | None = None
-    early: list[bytes] | None = None
+    early_frames: list[bytes] | None = None
 
     def attach(self, receiver: Receiver) -> None:
-        """Hand frames to ``receiver`` from now on, early ones first."""
+        """Deliver frames to ``receiver``, beginning with the buffered ones."""
         self.receiver = receiver
-        early = self.early or []
-        self.early = None
-        for data in early:
-            receiver.frame(data)
+        early_frames = self.early_frames or []
+        self.early_frames = None
+        for data in early_frames:
+            receiver.frame_received(data)
         if self.protocol.state is protocol.CLOSED:
-            receiver.lost()
+            receiver.connection_closed()
 
     def transmit(self, data: bytes) -> None:
-        """Write one binary frame; nothing happens on a closed connection."""
+        """Write a binary frame, or do nothing if the connection is closed."""
         if self.protocol.state is not protocol.OPEN:
             return
         self.protocol.send_binary(data)
@@ -62,12 +65,12 @@
         if not is_frame or event.opcode not in frames.DATA_OPCODES:
             super().process_event(event)
             return
-        whole = event.fin and event.opcode is frames.Opcode.BINARY
-        data = event.data if whole else b''
+        is_whole = event.fin and event.opcode is frames.Opcode.BINARY
+        data = event.data if is_whole else b''
         if self.receiver is not None:
-            self.receiver.frame(data)
+            self.receiver.frame_received(data)
         else:
-            self._keep(data)
+            self._buffer(data)
 
     def resume_writing(self) -> None:
         super().resume_writing()
@@ -77,21 +80,21 @@
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
         if self.receiver is not None:
-            self.receiver.lost()
+            self.receiver.connection_closed()
 
-    def _keep(self, data: bytes):
-        # A peer may answer before our task runs again; one that floods us
-        # then has not proved itself and must not fill our memory.
-        self.early = self.early or []
-        if len(self.early) == EARLY_FRAMES:
+    def _buffer(self, data: bytes):
+        # A peer may send before the owner's task attaches the receiver. It
+        # has not authenticated yet, so the buffer must stay small.
+        self.early_frames = self.early_frames or []
+        if len(self.early_frames) == MAXIMUM_EARLY_FRAMES:
             self.transport.abort()
             return
-        self.early.append(data)
+        self.early_frames.append(data)
 
 
-class ClientConnection(_Direct, client.ClientConnection):
+class ClientConnection(_DirectDelivery, client.ClientConnection):
     """The connecting end."""
 
 
-class ServerConnection(_Direct, server.ServerConnection):
+class ServerConnection(_DirectDelivery, server.ServerConnection):
     """The accepting end."""
--- a/berylhollow/link/_flusher.py
+++ b/berylhollow/link/_flusher.py
@@ -1,4 +1,4 @@
-"""Flush many links from one timer."""
+"""Flush many links together in shared rounds."""
 
 import asyncio
 import logging
@@ -8,56 +8,64 @@
 
 MILLISECONDS = 1000
 
-PROMPT_ROUNDS = 4
-"""Enough for the steps of one request, few enough to share a round."""
+IMMEDIATE_ROUNDS = 4
+"""Rounds per delay that run without waiting for it.
+
+They suffice for the steps of one request, and are few enough that the
+tokens of many streams still share a round.
+"""
 
 
 class Flushable(typing.Protocol):
-    """What can be flushed."""
+    """An object with queued data to write."""
 
     def flush(self) -> None:
-        """Write what is queued."""
+        """Write the queued data."""
 
 
 class Flusher:
-    """Call ``flush`` of whoever asked, in few rounds for all of them.
+    """Flush the registered items together, in few rounds.
 
-    A batch of an engine fills many links at once: one round for all of them
-    costs far less than one each. The first ``PROMPT_ROUNDS`` in any
-    ``delay_ms`` come at the end of the event loop's iteration, so that a
-    request on quiet links is not held up at each of its steps; what asks
-    after them waits for the end of that time. With a delay of 0 none waits.
+    A batch of an engine fills the queues of many links at once, and one
+    round for all of them costs far less than one callback each. The first
+    ``IMMEDIATE_ROUNDS`` rounds in each window of ``delay_ms`` run at the end
+    of the current event loop iteration, so that a request on idle links is
+    not delayed at each of its steps. Later items wait for the end of the
+    window. With a delay of 0 no item waits.
     """
 
     def __init__(self, delay_ms: float):
         self.delay = delay_ms / MILLISECONDS
         self.waiting: list[Flushable] = []
-        self.window_ends = 0.0
+        self.window_end = 0.0
         self.rounds = 0
 
     def add(self, item: Flushable) -> None:
-        """Have ``item`` flushed; the caller sees to it that it asks once."""
+        """Flush ``item`` in the next round.
+
+        The caller must not add an item again before it was flushed.
+        """
         if not self.waiting:
-            self._start()
+            self._schedule_round()
         self.waiting.append(item)
 
-    def _start(self):
+    def _schedule_round(self):
         loop = asyncio.get_running_loop()
         now = loop.time()
-        if now >= self.window_ends:
-            self.window_ends = now + self.delay
+        if now >= self.window_end:
+            self.window_end = now + self.delay
             self.rounds = 0
         self.rounds += 1
-        if self.rounds <= PROMPT_ROUNDS:
-            loop.call_soon(self._flush)
+        if self.rounds <= IMMEDIATE_ROUNDS:
+            loop.call_soon(self._flush_waiting)
         else:
-            loop.call_at(self.window_ends, self._flush)
+            loop.call_at(self.window_end, self._flush_waiting)
 
-    def _flush(self):
+    def _flush_waiting(self):
         waiting = self.waiting
         self.waiting = []
         for item in waiting:
-            # A defect in one must not keep the others waiting forever.
+            # An exception from one item must not leave the others unflushed.
             try:
                 item.flush()
             except Exception:
--- a/berylhollow/link/_handshake.py
+++ b/berylhollow/link/_handshake.py
@@ -1,7 +1,7 @@
 """Mutual authentication of the two ends of a link, without I/O.
 
 Both ends hold the same secret key. Each proves it by a MAC over both
-nonces, so that a recorded handshake is worth nothing the next time::
+nonces, so that a recorded handshake can't be replayed::
 
     client                               server
     Hello(version, identity, nonce)  ->
@@ -9,10 +9,10 @@
     Proof(mac)                       ->
                                      <-  Accept(identity, mac)
 
-The client proves itself first, so that a stranger learns nothing from a
-server: no MAC to guess the key from, and not even the server's name. What
-follows on the connection is neither signed nor encrypted: the network
-between our instances is trusted to deliver what was sent.
+The client authenticates first, so that a client without the key learns
+nothing from a server: neither a MAC for guessing the key offline nor the
+server's name. The messages after the handshake are neither signed nor
+encrypted: the network between our instances is trusted.
 """
 
 import dataclasses
@@ -24,11 +24,11 @@
 from berylhollow.link import _codec
 
 VERSION = 1
-"""Version of the handshake; ends with different ones refuse each other."""
+"""Handshake version; a server rejects a client with another one."""
 
 NONCE_BYTES = 16
 MAXIMUM_BYTES = 1024
-"""Largest handshake message that is read from a peer, in bytes."""
+"""Largest handshake message that is accepted from a peer, in bytes."""
 
 
 class HandshakeError(Exception):
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """Who is at an end: a restarted process has another incarnation."""
+    """The process at one end; ``incarnation`` changes at each restart."""
 
     instance_id: str
     role: str
@@ -55,21 +55,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Challenge:
-    """The server's nonce, which the client has to sign."""
+    """The server's nonce, which the client must sign."""
 
     nonce: bytes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proof:
-    """The client's proof."""
+    """The client's proof that it holds the key."""
 
     mac: bytes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accept:
-    """The server's name and its own proof."""
+    """The server's identity and its proof that it holds the key."""
 
     identity: Identity
     mac: bytes
@@ -81,8 +81,8 @@
 class ClientHandshake:
     """The client's side of one handshake.
 
-    ``peer`` is the server once it has proved itself; ``spoken`` tells that
-    nothing is left for this side to send.
+    ``peer`` is the server's identity, None until it has authenticated.
+    ``has_sent_all`` is true once this side has sent its last message.
     """
 
     def __init__(self, key: bytes, identity: Identity):
@@ -90,32 +90,32 @@
         self.identity = identity
         self.nonce = secrets.token_bytes(NONCE_BYTES)
         self.server_nonce = b''
-        self.spoken = False
+        self.has_sent_all = False
         self.peer: Identity | None = None
 
     def begin(self) -> bytes | None:
-        """Return the greeting that opens the handshake."""
+        """Return the client's first message."""
         return pack(Hello(VERSION, self.identity, self.nonce))
 
     def receive(self, data: bytes) -> bytes | None:
-        """Take what the server sent and return the answer, if any.
+        """Process a message of the server and return the reply, if any.
 
-        Raises HandshakeError if the server can't be trusted.
+        Raises HandshakeError if the server fails to authenticate.
         """
-        if self.spoken:
+        if self.has_sent_all:
             self._finish(unpack(data, Accept))
             return None
         return self._prove(unpack(data, Challenge))
 
     def mac(self, label: str, prover: Identity) -> bytes:
-        """Return the MAC that ``prover`` has to send."""
+        """Return the MAC that ``prover`` must send."""
         nonces = (self.nonce, self.server_nonce)
         return sign(self.key, label, nonces, self.identity, prover)
 
     def _prove(self, challenge: Challenge) -> bytes:
         _check_nonce(challenge.nonce)
         self.server_nonce = challenge.nonce
-        self.spoken = True
+        self.has_sent_all = True
         return pack(Proof(self.mac('client', self.identity)))
 
     def _finish(self, accept: Accept):
@@ -126,31 +126,35 @@
 
 
 class ServerHandshake:
-    """The server's side of one handshake; attributes as the client's."""
+    """The server's side of one handshake.
+
+    ``peer`` is the client's identity, None until it has authenticated.
+    ``has_sent_all`` is true once this side has sent its last message.
+    """
 
     def __init__(self, key: bytes, identity: Identity):
         self.key = key
         self.identity = identity
         self.nonce = secrets.token_bytes(NONCE_BYTES)
         self.hello: Hello | None = None
-        self.spoken = False
+        self.has_sent_all = False
         self.peer: Identity | None = None
 
     def begin(self) -> bytes | None:
-        """Return nothing: the client speaks first."""
+        """Return None, because the client sends the first message."""
         return None
 
     def receive(self, data: bytes) -> bytes | None:
-        """Take what the client sent and return the answer.
+        """Process a message of the client and return the reply.
 
-        Raises HandshakeError if the client can't be trusted.
+        Raises HandshakeError if the client fails to authenticate.
         """
         if self.hello is None:
             return self._challenge(unpack(data, Hello))
         return self._accept(unpack(data, Proof))
 
     def mac(self, label: str, prover: Identity) -> bytes:
-        """Return the MAC that ``prover`` has to send."""
+        """Return the MAC that ``prover`` must send."""
         nonces = (self.hello.nonce, self.nonce)
         return sign(self.key, label, nonces, self.hello.identity, prover)
 
@@ -166,7 +170,7 @@
         if not hmac.compare_digest(expected, proof.mac):
             raise HandshakeError('the client does not hold the key')
         self.peer = self.hello.identity
-        self.spoken = True
+        self.has_sent_all = True
         return pack(Accept(self.identity, self.mac('server', self.identity)))
 
 
@@ -177,11 +181,11 @@
     client: Identity,
     prover: Identity,
 ) -> bytes:
-    """Return the MAC that one end sends.
+    """Return the MAC that ``prover`` sends.
 
-    The label keeps an attacker from sending an end's own proof back to it;
-    CBOR marks where each part ends, so that no two handshakes share the
-    signed bytes.
+    The label keeps an attacker from reflecting an end's own proof back to
+    it. CBOR delimits the parts, so that different handshakes never sign
+    the same bytes.
     """
     parts = [label, VERSION, *nonces]
     for identity in (client, prover):
@@ -190,12 +194,15 @@
 
 
 def pack(message) -> bytes:
-    """Return one handshake message as it is sent."""
+    """Return the wire form of a handshake message."""
     return _codec.join([CODEC.encode(message)])
 
 
 def unpack(data: bytes, cls: type):
-    """Return the one message in ``data``, which must be a ``cls``."""
+    """Return the single message in ``data``.
+
+    Raises HandshakeError unless it is an instance of ``cls``.
+    """
     try:
         messages = CODEC.decode(data)
     except _codec.CodecError as error:
--- a/berylhollow/link/_link.py
+++ b/berylhollow/link/_link.py
@@ -1,4 +1,4 @@
-"""One authenticated connection between two of our processes."""
+"""An authenticated connection between two of our processes."""
 
 import asyncio
 import dataclasses
@@ -20,26 +20,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Options:
-    """Bounds of a link: times in milliseconds, sizes in bytes."""
+    """Limits of a link: times in milliseconds, sizes in bytes."""
 
     flush_delay_ms: float = 0
-    """How long a message may wait for others to share a frame with."""
+    """How long a message may wait for others to share its frame."""
     flush_bytes: int = 64 * 1024
-    """A frame is sent at once when this much is queued."""
+    """A frame is sent at once when this many bytes are queued."""
     congested_bytes: int = 1024 * 1024
-    """Above this much queued the link reports that it is congested."""
+    """The link is congested while more bytes than this are queued."""
     overflow_bytes: int = 8 * 1024 * 1024
-    """Above this much queued the link is closed."""
+    """The link is closed when more bytes than this are queued."""
     maximum_bytes: int = 4 * 1024 * 1024
-    """Largest frame taken from a peer, and largest message sent."""
+    """Largest frame accepted from a peer, and largest message sent."""
     handshake_timeout_ms: int = 2000
-    """Each of connecting and authenticating must end within this time."""
+    """Time limit for connecting, and again for authenticating."""
     close_timeout_ms: int = 2000
-    """How long a closing link may flush what is queued."""
+    """How long a closing link may take to flush its queue."""
     ping_interval_ms: int = 5000
     """Time between keepalive pings."""
     ping_timeout_ms: int = 5000
-    """A ping unanswered for this long takes the link down."""
+    """The link goes down when a ping is unanswered for this long."""
 
     @property
     def handshake_timeout(self) -> float:
@@ -63,25 +63,26 @@
 
 
 class Handler(typing.Protocol):
-    """What the owner of links is told; none of these may block."""
+    """Callbacks to the owner of links; none of them may block."""
 
     def link_up(self, link: 'Link') -> None:
-        """Take a link whose peer has proved itself."""
+        """Handle a link whose peer has authenticated."""
 
     def message(self, link: 'Link', message: typing.Any) -> None:
-        """Take one message of the peer."""
+        """Handle a message from the peer."""
 
     def link_down(self, link: 'Link', reason: _reason.Reason) -> None:
-        """Take the end of a link; called once, also if it never was up."""
+        """Handle the end of a link; called once, also if it never was up."""
 
 
 class Link:
     """One end of a connection.
 
-    ``peer`` names the other end and is None until it has proved itself;
-    ``address`` is where the connection leads. ``up`` tells whether messages
-    may be sent, ``reason`` why they no longer may. ``sent_messages``,
-    ``sent_frames``, ``received_messages`` and ``received_frames`` count.
+    ``peer`` identifies the other end and is None until it has
+    authenticated; ``address`` is its network address. ``up`` tells whether
+    the link has authenticated and not failed; ``reason`` is set once it is
+    closing. ``sent_messages``, ``sent_frames``, ``received_messages`` and
+    ``received_frames`` are counters.
     """
 
     def __init__(
@@ -104,33 +105,37 @@
         self.sent_frames = 0
         self.received_messages = 0
         self.received_frames = 0
-        self._parts: list[bytes] = []
-        self._message_bytes = options.maximum_bytes - _codec.JOIN_BYTES
-        self._frame_bytes = min(options.flush_bytes, self._message_bytes)
+        self._queued_parts: list[bytes] = []
+        self._maximum_message_bytes = (
+            options.maximum_bytes - _codec.LIST_OVERHEAD_BYTES
+        )
+        self._maximum_frame_bytes = min(
+            options.flush_bytes, self._maximum_message_bytes
+        )
         self._connection = None
         self._handshake = None
         self._flusher = flusher
         self._flush_due = False
-        self._timer = None
-        self._ending: asyncio.Future | None = None
+        self._handshake_timer = None
+        self._close_requested: asyncio.Future | None = None
 
     @property
     def congested(self) -> bool:
-        """Whether more is queued than the peer takes for now."""
+        """Whether more than ``congested_bytes`` are queued."""
         return self.queued_bytes > self.options.congested_bytes
 
     def send(self, message: typing.Any) -> bool:
-        """Queue a message without blocking; False if the link is not up.
+        """Queue a message and return whether the link accepted it.
 
-        Raises ValueError for a message that is larger than the peer takes,
-        and TypeError for one without a tag.
+        Raises ValueError for a message that is larger than the peer
+        accepts, and TypeError for one whose class has no tag.
         """
         if not self.up or self.reason is not None:
             return False
         part = self.codec.encode(message)
-        if len(part) > self._message_bytes:
+        if len(part) > self._maximum_message_bytes:
             raise ValueError(f'message of {len(part)} bytes is too large')
-        self._parts.append(part)
+        self._queued_parts.append(part)
         self.queued_bytes += len(part)
         self.sent_messages += 1
         if self.queued_bytes > self.options.overflow_bytes:
@@ -144,82 +149,88 @@
         return True
 
     def close(self, reason: _reason.Reason = _reason.Reason.CLOSED) -> None:
-        """Send what is queued, then close; the handler is told at the end.
+        """Request to flush the queue and then close the connection.
 
-        A peer that does not take the rest within ``close_timeout_ms`` is cut
-        off.
+        The connection is aborted if the peer does not read the rest within
+        ``close_timeout_ms``.
         """
         if self.reason is None:
             self.reason = reason
-        if self._ending is not None and not self._ending.done():
-            self._ending.set_result(None)
+        if (
+            self._close_requested is not None
+            and not self._close_requested.done()
+        ):
+            self._close_requested.set_result(None)
 
     def abort(self, reason: _reason.Reason) -> None:
-        """Close at once and drop what is queued.
+        """Close at once and drop the queue.
 
-        A stalled peer would otherwise make this process hold its backlog
-        until memory runs out; nothing is lost that the protocols above do
-        not send again on a new link.
+        The backlog of a stalled peer would otherwise grow until this
+        process runs out of memory. The protocols above send again on a new
+        link what was dropped.
         """
         self.close(reason)
-        self._parts.clear()
+        self._queued_parts.clear()
         self.queued_bytes = 0
         if self._connection is not None:
             self._connection.transport.abort()
 
     async def run(self, connection, handshake) -> None:
-        """Authenticate and carry messages until the connection is closed.
+        """Authenticate and exchange messages until the link is closed.
 
-        The owner then has to call ``down``.
+        The owner must call ``report_down`` afterwards.
         """
         loop = asyncio.get_running_loop()
         self._connection = connection
         self._handshake = handshake
-        self._ending = loop.create_future()
-        # A connection without the key must not hold memory for long, however
-        # slowly it sends: one timeout spans the whole handshake.
-        self._timer = loop.call_later(
+        self._close_requested = loop.create_future()
+        # A single timeout covers the whole handshake, so that a peer without
+        # the key can't hold memory for longer by sending slowly.
+        self._handshake_timer = loop.call_later(
             self.options.handshake_timeout,
             self._fail,
             _reason.Reason.HANDSHAKE_TIMEOUT,
         )
-        greeting = handshake.begin()
-        if greeting is not None:
-            connection.transmit(greeting)
+        first_message = handshake.begin()
+        if first_message is not None:
+            connection.transmit(first_message)
         connection.attach(self)
         if self.reason is None:
-            await self._ending
-        self._stop_timer()
-        await self._finish()
+            await self._close_requested
+        self._cancel_handshake_timer()
+        await self._flush_and_close()
 
-    def down(self, reason: _reason.Reason) -> None:
-        """Report the end; ``reason`` counts if none is known yet."""
+    def report_down(self, reason: _reason.Reason) -> None:
+        """Drop the queue and call ``link_down`` of the handler.
+
+        ``reason`` applies only if none was set before.
+        """
         if self.reason is None:
             self.reason = reason
         self.up = False
-        self._parts.clear()
+        self._queued_parts.clear()
         self.queued_bytes = 0
-        self._tell(self.handler.link_down, self, self.reason)
+        self._call_handler(self.handler.link_down, self, self.reason)
 
-    def frame(self, data: bytes) -> None:
-        """Take a frame from the connection."""
+    def frame_received(self, data: bytes) -> None:
+        """Process a frame from the connection."""
         if self.up:
             self._receive(data)
         elif self._handshake is not None and self.reason is None:
             self._authenticate(data)
 
     def flush(self) -> None:
-        """Write what is queued, as far as the connection takes it."""
+        """Write queued messages until the connection pauses writing."""
         self._flush_due = False
         if self.reason is not None:
             return
-        while self._parts and not self._connection.paused:
-            self._connection.transmit(self._take())
+        while self._queued_parts and not self._connection.paused:
+            self._connection.transmit(self._next_frame())
 
-    def lost(self) -> None:
-        """Learn from the connection that it is closed."""
+    def connection_closed(self) -> None:
+        """Close the link after its connection was closed."""
         self.up = False
-        self.close(_reason.of_closed(self._connection.close_exc))
+        self.close(_reason.from_connection_closed(self._connection.close_exc))
 
     def _authenticate(self, data: bytes):
         try:
@@ -228,23 +239,23 @@
             LOG.warning('peer %s: %s', self.address, error)
             self._fail(_reason.Reason.AUTHENTICATION)
             return
-        if self._handshake.spoken:
-            # Frames stay small until the peer has proved itself. The other
-            # end may send more along with its last proof, in one read, so
-            # the limit is lifted before that arrives.
+        if self._handshake.has_sent_all:
+            # The frame size is limited strictly until the peer has
+            # authenticated. Its last handshake message may arrive in one read
+            # with larger frames, so the limit is raised before that read.
             limit = self.options.maximum_bytes
             self._connection.protocol.max_message_size = limit
         if answer is not None:
             self._connection.transmit(answer)
         if self._handshake.peer is not None:
-            self._begin(self._handshake.peer)
+            self._mark_up(self._handshake.peer)
 
-    def _begin(self, peer: _handshake.Identity):
+    def _mark_up(self, peer: _handshake.Identity):
         self._handshake = None
-        self._stop_timer()
+        self._cancel_handshake_timer()
         self.peer = peer
         self.up = True
-        self._tell(self.handler.link_up, self)
+        self._call_handler(self.handler.link_up, self)
 
     def _receive(self, data: bytes):
         try:
@@ -257,11 +268,11 @@
         self.received_messages += len(messages)
         for message in messages:
             if self.up:
-                self._tell(self.handler.message, self, message)
+                self._call_handler(self.handler.message, self, message)
 
-    def _tell(self, callback, *arguments):
-        # A defect in the handling of one message must not end the process,
-        # which serves many other peers: only this link goes.
+    def _call_handler(self, callback, *arguments):
+        # An exception from the handler closes only this link, because the
+        # process serves many other peers.
         try:
             callback(*arguments)
         except Exception:
@@ -269,43 +280,44 @@
             self._fail(_reason.Reason.HANDLER)
 
     def _fail(self, reason: _reason.Reason):
-        """Take nothing more from the peer, and close."""
+        """Close the link and ignore further frames from the peer."""
         self.up = False
         self.close(reason)
 
-    def _stop_timer(self):
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+    def _cancel_handshake_timer(self):
+        if self._handshake_timer is not None:
+            self._handshake_timer.cancel()
+            self._handshake_timer = None
 
-    def _take(self) -> bytes:
-        """Return the next frame, of queued messages that share it."""
+    def _next_frame(self) -> bytes:
+        """Remove queued messages and return them as one frame."""
         self.sent_frames += 1
-        if self.queued_bytes > self._frame_bytes:
-            return _codec.join(self._take_some())
-        data = _codec.join(self._parts)
-        self._parts.clear()
+        if self.queued_bytes > self._maximum_frame_bytes:
+            return _codec.join(self._next_parts())
+        data = _codec.join(self._queued_parts)
+        self._queued_parts.clear()
         self.queued_bytes = 0
         return data
 
-    def _take_some(self) -> list[bytes]:
-        size = len(self._parts[0])
+    def _next_parts(self) -> list[bytes]:
+        """Remove and return the queued messages that fit into a frame."""
+        size = len(self._queued_parts[0])
         count = 1
-        for part in itertools.islice(self._parts, 1, None):
-            if size + len(part) > self._frame_bytes:
+        for part in itertools.islice(self._queued_parts, 1, None):
+            if size + len(part) > self._maximum_frame_bytes:
                 break
             size += len(part)
             count += 1
-        taken = self._parts[:count]
-        del self._parts[:count]
+        parts = self._queued_parts[:count]
+        del self._queued_parts[:count]
         self.queued_bytes -= size
-        return taken
+        return parts
 
-    async def _finish(self):
+    async def _flush_and_close(self):
         try:
             async with asyncio.timeout(self.options.close_timeout):
-                while self._parts:
-                    await self._connection.send(self._take())
+                while self._queued_parts:
+                    await self._connection.send(self._next_frame())
                 await self._connection.close(self.reason)
         except (exceptions.ConnectionClosed, TimeoutError):
             self._connection.transport.abort()
--- a/berylhollow/link/_reason.py
+++ b/berylhollow/link/_reason.py
@@ -1,4 +1,4 @@
-"""Why a link went down: one closed list, also used as close codes."""
+"""Reasons why a link went down, which are also websocket close codes."""
 
 import enum
 
@@ -26,19 +26,19 @@
     MALFORMED = 4020
     """What the peer sent does not fit the declared messages."""
     OVERFLOW = 4021
-    """The peer did not take what was queued for it."""
+    """The send queue overflowed because the peer read too slowly."""
     HANDLER = 4022
-    """Our own handler failed on a message: a defect."""
+    """Our own handler raised an exception, which is a defect."""
     CONNECT = 4030
-    """No connection came about."""
+    """No connection could be opened."""
     LOST = 4031
-    """The connection broke without a word."""
+    """The connection broke without a close frame."""
     SILENT = 4032
     """The peer stopped answering keepalive pings."""
 
 
-def of_closed(error: exceptions.ConnectionClosed) -> Reason:
-    """Return why a connection closed that we did not mean to close."""
+def from_connection_closed(error: exceptions.ConnectionClosed) -> Reason:
+    """Return why a connection closed without a request of this end."""
     if error.rcvd is not None:
         return from_close_code(error.rcvd.code)
     if error.sent is None:
@@ -50,7 +50,11 @@
 
 
 def from_close_code(code: int) -> Reason:
-    """Return what a received close code says, LOST for an unknown one."""
+    """Return the reason that a close code stands for.
+
+    An unknown code of the private range means CLOSED, any other unknown
+    one LOST.
+    """
     if code == _NORMAL_CODE:
         return Reason.CLOSED
     if code == _TOO_BIG_CODE:
--- a/berylhollow/link/_server.py
+++ b/berylhollow/link/_server.py
@@ -1,4 +1,4 @@
-"""The end of links that listens."""
+"""The listening end of links."""
 
 import logging
 
@@ -17,8 +17,9 @@
 class LinkServer:
     """Accept links from peers that hold the key.
 
-    ``links`` are those that are up or still authenticating; ``refused``
-    counts the connections that did not, which the handler never hears of.
+    ``links`` holds those that are up or still authenticating. ``refused``
+    counts the connections that failed to authenticate, which are not
+    reported to the handler.
     """
 
     def __init__(
@@ -42,10 +43,13 @@
         self.links: set[_link.Link] = set()
         self.refused = 0
         self._server = None
-        self._stopped: _reason.Reason | None = None
+        self._stop_reason: _reason.Reason | None = None
 
     async def start(self) -> None:
-        """Listen; ``port`` then is the real one. Raises OSError."""
+        """Start to listen and set ``port`` to the port in use.
+
+        Raises OSError if the address can't be bound.
+        """
         options = self.options
         self._server = await server.serve(
             self._serve,
@@ -64,7 +68,7 @@
 
     async def stop(self, reason=_reason.Reason.LEAVING) -> None:
         """Stop listening, close every link and wait for them to end."""
-        self._stopped = reason
+        self._stop_reason = reason
         for link in tuple(self.links):
             link.close(reason)
         self._server.close(close_connections=False)
@@ -76,10 +80,11 @@
             address, self.codec, self.handler, self.options, self.flusher
         )
         self.links.add(link)
-        if self._stopped is not None:
-            # Taken while the others were closed. Left open it would go up,
-            # and a stop that waits for all links would run into its limit.
-            link.close(self._stopped)
+        if self._stop_reason is not None:
+            # This connection was accepted after ``stop`` had closed the
+            # others. If it came up, ``stop`` would wait for it until its
+            # time limit.
+            link.close(self._stop_reason)
         handshake = _handshake.ServerHandshake(self.key, self.identity)
         try:
             await link.run(connection, handshake)
@@ -88,4 +93,4 @@
             if link.peer is None:
                 self.refused += 1
             else:
-                link.down(_reason.Reason.LOST)
+                link.report_down(_reason.Reason.LOST)
--- a/test/test_link.py
+++ b/test/test_link.py
@@ -229,13 +229,13 @@
         """
         flusher = links.Flusher(60_000)
         link = mock.Mock()
-        for _ in range(_flusher.PROMPT_ROUNDS):
+        for _ in range(_flusher.IMMEDIATE_ROUNDS):
             flusher.add(link)
             await asyncio.sleep(0)
-        self.assertEqual(_flusher.PROMPT_ROUNDS, link.flush.call_count)
+        self.assertEqual(_flusher.IMMEDIATE_ROUNDS, link.flush.call_count)
         flusher.add(link)
         await asyncio.sleep(0)
-        self.assertEqual(_flusher.PROMPT_ROUNDS, link.flush.call_count)
+        self.assertEqual(_flusher.IMMEDIATE_ROUNDS, link.flush.call_count)
 
 
 class AuthenticationTest(LinkCase):
