--- a/test/test_stream.py
+++ b/test/test_stream.py
@@ -11,7 +11,7 @@
 LIMIT = stream.MINIMUM_LIMIT_BYTES
 
 
-def started(payloads=(), limit=LIMIT):
+def sender_and_frames(payloads=(), limit=LIMIT):
     sender = stream.StreamSender('a1', limit)
     return sender, [sender.push(payload) for payload in payloads]
 
@@ -19,7 +19,7 @@
 class SenderTest(unittest.TestCase):
     def test_unacknowledged_frames_are_bounded(self):
         for payload in (b'', bytes(1000)):
-            sender, _ = started()
+            sender, _ = sender_and_frames()
             while not sender.paused:
                 sender.push(payload)
             with self.assertRaises(stream.PausedError):
@@ -29,7 +29,7 @@
             self.assertFalse(sender.paused)
 
     def test_resume_before_what_is_kept_or_beyond_what_was_sent(self):
-        sender, frames = started([b'a', b'b', b'c'])
+        sender, frames = sender_and_frames([b'a', b'b', b'c'])
         sender.acknowledge(1)
         sender.acknowledge(0)
         self.assertEqual(frames[1:], sender.resume(1))
@@ -41,7 +41,7 @@
             sender.acknowledge(4)
 
     def test_nothing_follows_the_end(self):
-        sender, _ = started([b'a'])
+        sender, _ = sender_and_frames([b'a'])
         end = sender.finish()
         with self.assertRaises(stream.StreamError):
             sender.push(b'b')
@@ -55,11 +55,11 @@
         self.receiver = stream.StreamReceiver('a1')
 
     def test_without_its_end_a_stream_is_not_complete(self):
-        """An engine's connection is cut in the middle of an answer.
+        """The connection to an engine breaks in the middle of an answer.
 
-        The caller must not take the part that came for the whole.
+        The caller must not mistake the partial answer for a complete one.
         """
-        sender, frames = started([b'a', b'b'])
+        sender, frames = sender_and_frames([b'a', b'b'])
         for frame in frames:
             self.receiver.accept(frame)
         self.assertFalse(self.receiver.complete)
@@ -67,7 +67,7 @@
         self.assertTrue(self.receiver.complete)
 
     def test_missing_frame_is_a_gap(self):
-        sender, frames = started([b'a', b'b', b'c'])
+        sender, frames = sender_and_frames([b'a', b'b', b'c'])
         self.receiver.accept(frames[0])
         for frame in (frames[2], sender.finish()):
             with self.assertRaises(stream.GapError):
@@ -85,9 +85,9 @@
                 self.receiver.accept(late)
 
     def test_frame_of_an_older_attempt_is_dropped(self):
-        """A retry answers, then the first attempt's answer comes after all.
+        """Frames of the first attempt arrive after a retry has begun.
 
-        Mixed in, the caller would get parts of two answers as one.
+        Accepting them would mix two answers into one.
         """
         self.assertIsNone(self.receiver.accept(messages.Data('a0', 0, b'old')))
         self.assertIsNone(self.receiver.accept(messages.End('a0', 0)))
@@ -98,8 +98,8 @@
         )
 
     def test_slow_caller_is_not_acknowledged(self):
-        """What arrived is no room; what the caller took is."""
-        sender, _ = started()
+        """Only frames that the caller consumed are acknowledged."""
+        sender, _ = sender_and_frames()
         for _ in range(stream.ACKNOWLEDGE_FRAMES):
             self.receiver.accept(sender.push(b'x'))
         self.assertIsNone(self.receiver.acknowledgement())
@@ -111,10 +111,10 @@
     def test_lost_acknowledgement_does_not_hold_up_the_stream(self):
         """An acknowledgement is lost with its link.
 
-        The sender is paused and waits for it; the receiver has taken all
-        and waits for more: without a second one the answer hangs.
+        The sender is paused until it arrives, and the receiver waits for
+        more frames: without a second acknowledgement the answer hangs.
         """
-        sender, _ = started()
+        sender, _ = sender_and_frames()
         while not sender.paused:
             self.receiver.accept(sender.push(bytes(1000)))
             self.receiver.consumed()
@@ -126,27 +126,27 @@
 
 
 class Exchange:
-    """A sender and a receiver, and the frames under way between them.
+    """A sender and a receiver, and the frames in flight between them.
 
-    A link keeps order. When it breaks, frames of the old one may still come
-    after the first ones of the new one, in their own order, or never.
+    A link keeps frames in order. After a reconnect, frames of the old link
+    may arrive after the first ones of the new link, in order, or never.
     """
 
     def __init__(self, payloads):
-        self.sender, _ = started()
+        self.sender, _ = sender_and_frames()
         self.receiver = stream.StreamReceiver('a1')
-        self.waiting = list(payloads)
-        self.old = []
-        self.new = []
-        self.taken = []
+        self.unsent = list(payloads)
+        self.old_link = []
+        self.new_link = []
+        self.received = []
 
     def send(self):
         if self.sender.paused or self.sender.finished:
             return
-        if self.waiting:
-            self.new.append(self.sender.push(self.waiting.pop(0)))
+        if self.unsent:
+            self.new_link.append(self.sender.push(self.unsent.pop(0)))
         else:
-            self.new.append(self.sender.finish())
+            self.new_link.append(self.sender.finish())
 
     def arrive(self, frames):
         if not frames:
@@ -157,7 +157,7 @@
             self.resume()
             return
         if payload is not None:
-            self.taken.append(payload)
+            self.received.append(payload)
             self.receiver.consumed()
 
     def acknowledge(self, arrives=True):
@@ -166,30 +166,30 @@
             self.sender.acknowledge(message.next_sequence)
 
     def resume(self):
-        self.old = self.new
+        self.old_link = self.new_link
         resume = self.receiver.resume()
-        self.new = self.sender.resume(resume.next_sequence)
+        self.new_link = self.sender.resume(resume.next_sequence)
 
-    def do(self, step):
+    def perform(self, step):
         actions = {
             'send': self.send,
-            'arrive': lambda: self.arrive(self.new),
-            'arrive old': lambda: self.arrive(self.old),
+            'arrive': lambda: self.arrive(self.new_link),
+            'arrive old': lambda: self.arrive(self.old_link),
             'acknowledge': self.acknowledge,
             'lose acknowledgement': lambda: self.acknowledge(False),
             'break': self.resume,
-            'repeat': lambda: self.new.extend(self.new[-1:]),
-            'lose': lambda: self.new.clear(),
+            'repeat': lambda: self.new_link.extend(self.new_link[-1:]),
+            'lose': lambda: self.new_link.clear(),
         }
         actions[step]()
 
     def finish(self):
-        """Let all go well from now on, after one more reconnect."""
+        """Reconnect, then deliver everything without further faults."""
         self.resume()
-        for _ in range(2 * len(self.waiting) + len(self.sender.kept) + 2):
+        for _ in range(2 * len(self.unsent) + len(self.sender.stored) + 2):
             self.acknowledge()
             self.send()
-            self.arrive(self.new)
+            self.arrive(self.new_link)
 
 
 STEPS = strategies.sampled_from(
@@ -212,21 +212,21 @@
     def test_payloads_arrive_once_in_order_or_not_completely(
         self, payloads, steps
     ):
-        """Links break at any point, repeat and lose what was under way.
+        """Links break at any point, and repeat or lose frames in flight.
 
-        The caller gets a prefix of the answer at any moment, all of it once
-        the stream is complete, and it always can complete in the end.
+        The caller always has a prefix of the answer, and the whole answer
+        once the stream is complete. Every stream can be completed.
         """
         exchange = Exchange(payloads)
         for step in steps:
-            exchange.do(step)
-            taken = exchange.taken
-            self.assertEqual(payloads[: len(taken)], taken)
+            exchange.perform(step)
+            received = exchange.received
+            self.assertEqual(payloads[: len(received)], received)
             if exchange.receiver.complete:
-                self.assertEqual(payloads, taken)
+                self.assertEqual(payloads, received)
         exchange.finish()
         self.assertTrue(exchange.receiver.complete)
-        self.assertEqual(payloads, exchange.taken)
+        self.assertEqual(payloads, exchange.received)
         exchange.receiver.resume()
         exchange.acknowledge()
         self.assertTrue(exchange.sender.released)
