--- a/test/link_builders.py
+++ b/test/link_builders.py
@@ -1,4 +1,4 @@
-"""Links, messages and peers for the tests of the links."""
+"""Builders of links, messages and peers for the tests of links."""
 
 import asyncio
 import dataclasses
@@ -44,7 +44,7 @@
 
 
 class RecordingHandler:
-    """A handler that keeps what it is told and wakes whoever waits."""
+    """A handler that records its calls and wakes waiting tests."""
 
     def __init__(self):
         self.ups = []
@@ -65,7 +65,7 @@
         self.changed.set()
 
     async def until(self, condition):
-        """Return once ``condition()`` holds."""
+        """Wait until ``condition()`` is true."""
         while not condition():
             self.changed.clear()
             await self.changed.wait()
--- a/test/test_link.py
+++ b/test/test_link.py
@@ -1,4 +1,4 @@
-"""Tests of links over loopback: authentication, order, bounds, the end."""
+"""Tests of links over loopback: handshake, order, limits and closing."""
 
 import asyncio
 import contextlib
@@ -17,26 +17,28 @@
 
 Reason = links.Reason
 HANG_S = 5
-"""Far above what any wait takes: a fault then fails instead of hanging."""
+"""Far above any normal wait; a test then fails instead of hanging."""
 
 
 class LinkCase(unittest.IsolatedAsyncioTestCase):
     async def start_server(self, key=build.KEY, **options):
-        self.served = build.RecordingHandler()
-        self.server = build.server(self.served, key, **options)
+        self.server_handler = build.RecordingHandler()
+        self.server = build.server(self.server_handler, key, **options)
         await self.server.start()
         self.addAsyncCleanup(self.server.stop)
 
     async def start_client(self, key=build.KEY, port=None, **options):
-        self.dialled = build.RecordingHandler()
+        self.client_handler = build.RecordingHandler()
         port = self.server.port if port is None else port
-        self.client = build.client(port, self.dialled, key, **options)
+        self.client = build.client(port, self.client_handler, key, **options)
         link = self.client.start()
-        await self.dialled.until(lambda: self.dialled.ups or link.reason)
+        await self.client_handler.until(
+            lambda: self.client_handler.ups or link.reason
+        )
         return link
 
     async def connect_raw(self):
-        """Return a websocket to the server that did not say anything yet."""
+        """Return a websocket to the server without starting a handshake."""
         connection = await client.connect(
             f'ws://127.0.0.1:{self.server.port}/', proxy=None
         )
@@ -49,23 +51,29 @@
         self.assertEqual(reason, caught.exception.rcvd.code)
         while not self.server.refused:
             await asyncio.sleep(0)
-        self.assertEqual([], self.served.ups + self.served.downs)
+        self.assertEqual(
+            [], self.server_handler.ups + self.server_handler.downs
+        )
 
 
 class LinkTest(LinkCase):
     async def test_both_ends_know_each_other_and_order_is_kept(self):
         await self.start_server()
         link = await self.start_client()
-        await self.served.until(lambda: self.served.ups)
+        await self.server_handler.until(lambda: self.server_handler.ups)
         self.assertEqual(build.SIDECAR, link.peer)
-        back = self.served.ups[0]
-        self.assertEqual(build.GATEWAY, back.peer)
+        server_link = self.server_handler.ups[0]
+        self.assertEqual(build.GATEWAY, server_link.peer)
         for number in range(100):
             self.assertTrue(link.send(build.note(number)))
-            self.assertTrue(back.send(build.note(-number)))
-        await self.served.until(lambda: len(self.served.messages) == 100)
-        await self.dialled.until(lambda: len(self.dialled.messages) == 100)
-        numbers = [message.number for message in self.served.messages]
+            self.assertTrue(server_link.send(build.note(-number)))
+        await self.server_handler.until(
+            lambda: len(self.server_handler.messages) == 100
+        )
+        await self.client_handler.until(
+            lambda: len(self.client_handler.messages) == 100
+        )
+        numbers = [message.number for message in self.server_handler.messages]
         self.assertEqual(list(range(100)), numbers)
         self.assertEqual(1, link.sent_frames)
 
@@ -77,29 +85,29 @@
             link.send(build.note(number, large))
         link.close(Reason.LEAVING)
         self.assertFalse(link.send(build.note(99)))
-        await self.served.until(lambda: self.served.downs)
-        self.assertEqual(30, len(self.served.messages))
-        self.assertEqual([Reason.LEAVING], self.served.downs)
+        await self.server_handler.until(lambda: self.server_handler.downs)
+        self.assertEqual(30, len(self.server_handler.messages))
+        self.assertEqual([Reason.LEAVING], self.server_handler.downs)
         await self.client.wait()
-        self.assertEqual([Reason.LEAVING], self.dialled.downs)
+        self.assertEqual([Reason.LEAVING], self.client_handler.downs)
 
     async def test_stopped_server_tells_its_clients(self):
         await self.start_server()
         await self.start_client()
         await self.server.stop()
-        await self.dialled.until(lambda: self.dialled.downs)
-        self.assertEqual([Reason.LEAVING], self.dialled.downs)
+        await self.client_handler.until(lambda: self.client_handler.downs)
+        self.assertEqual([Reason.LEAVING], self.client_handler.downs)
 
     async def test_link_that_opens_while_the_server_stops(self):
-        """A sidecar did not stop in its time and was cut off.
+        """A stopping sidecar ran into its time limit and was aborted.
 
-        A gateway's connection was taken when the stop had already closed all
-        links, before the port was closed: its link went up and the stop
-        waited for it to end by itself. The log has the gateway as linked
-        after the sidecar is stopping, and orders of the sidecar after that.
+        A gateway's connection was accepted after the stop had closed all
+        links but before the port was closed. Its link came up and the stop
+        waited for it to end. The log showed the gateway as linked after the
+        sidecar had begun to stop, and orders of the sidecar after that.
         """
-        self.served = build.RecordingHandler()
-        server = build.server(self.served, build.KEY)
+        self.server_handler = build.RecordingHandler()
+        server = build.server(self.server_handler, build.KEY)
         taken, closed = asyncio.Event(), asyncio.Event()
         serve = server._serve
 
@@ -120,57 +128,57 @@
             await authenticate(connection)
         async with asyncio.timeout(HANG_S):
             await stopping
-        self.assertEqual([], self.served.ups)
+        self.assertEqual([], self.server_handler.ups)
 
     async def test_no_server_is_reported_once(self):
         await self.start_server()
         await self.server.stop()
         await self.start_client()
         await self.client.wait()
-        self.assertEqual([Reason.CONNECT], self.dialled.downs)
-        self.assertEqual([], self.dialled.ups)
+        self.assertEqual([Reason.CONNECT], self.client_handler.downs)
+        self.assertEqual([], self.client_handler.ups)
 
     async def test_connection_cut_off(self):
         await self.start_server()
         link = await self.start_client()
-        await self.served.until(lambda: self.served.ups)
+        await self.server_handler.until(lambda: self.server_handler.ups)
         link.abort(Reason.REPLACED)
-        await self.served.until(lambda: self.served.downs)
-        self.assertEqual([Reason.LOST], self.served.downs)
+        await self.server_handler.until(lambda: self.server_handler.downs)
+        self.assertEqual([Reason.LOST], self.server_handler.downs)
         await self.client.wait()
-        self.assertEqual([Reason.REPLACED], self.dialled.downs)
+        self.assertEqual([Reason.REPLACED], self.client_handler.downs)
 
     async def test_failing_handler_costs_its_own_link_only(self):
         await self.start_server()
         first = await self.start_client()
-        self.served.message = lambda link, message: 1 / 0
+        self.server_handler.message = lambda link, message: 1 / 0
         first.send(build.note(1))
         with self.assertLogs('berylhollow.link._link', 'ERROR'):
             await self.client.wait()
-        self.assertEqual([Reason.HANDLER], self.dialled.downs)
+        self.assertEqual([Reason.HANDLER], self.client_handler.downs)
         self.assertTrue((await self.start_client()).up)
 
     async def test_stalled_peer_does_not_grow_memory(self):
-        """A peer stops reading, while answers for it keep coming.
+        """A peer stops reading while answers for it are still queued.
 
-        Without a bound the backlog grows until the process runs out of
-        memory and takes down the streams of all its other peers.
+        Without a limit the backlog grows until the process runs out of
+        memory, which breaks the streams of all its other peers.
         """
         limits = {'congested_bytes': 200_000, 'overflow_bytes': 400_000}
         await self.start_server(**limits)
         connection = await self.connect_raw()
         await authenticate(connection)
         connection.transport.pause_reading()
-        await self.served.until(lambda: self.served.ups)
-        link = self.served.ups[0]
+        await self.server_handler.until(lambda: self.server_handler.ups)
+        link = self.server_handler.ups[0]
         congested = 0
         while link.send(build.note(1, bytes(50_000))):
             congested += link.congested
             self.assertLessEqual(link.queued_bytes, 400_000)
             await asyncio.sleep(0)
         self.assertGreater(congested, 0)
-        await self.served.until(lambda: self.served.downs)
-        self.assertEqual([Reason.OVERFLOW], self.served.downs)
+        await self.server_handler.until(lambda: self.server_handler.downs)
+        self.assertEqual([Reason.OVERFLOW], self.server_handler.downs)
         self.assertEqual(0, link.queued_bytes)
 
     async def test_malformed_message_costs_its_own_link_only(self):
@@ -180,11 +188,11 @@
         await authenticate(connection)
         await connection.send(cbor2.dumps([[10, 'note', 'x', b'']]))
         with self.assertLogs('berylhollow.link._link', 'WARNING'):
-            await self.served.until(lambda: self.served.downs)
-        self.assertEqual([Reason.MALFORMED], self.served.downs)
+            await self.server_handler.until(lambda: self.server_handler.downs)
+        self.assertEqual([Reason.MALFORMED], self.server_handler.downs)
         healthy.send(build.note(5))
-        await self.served.until(lambda: self.served.messages)
-        self.assertEqual([build.note(5)], self.served.messages)
+        await self.server_handler.until(lambda: self.server_handler.messages)
+        self.assertEqual([build.note(5)], self.server_handler.messages)
 
     async def test_message_too_large_for_the_peer_is_refused(self):
         await self.start_server()
@@ -192,14 +200,16 @@
         with self.assertRaises(ValueError):
             link.send(build.note(1, bytes(1000)))
         link.send(build.note(2))
-        await self.served.until(lambda: self.served.messages)
+        await self.server_handler.until(lambda: self.server_handler.messages)
 
     async def test_shared_frame_is_not_larger_than_the_peer_takes(self):
         await self.start_server(maximum_bytes=1000)
         link = await self.start_client(maximum_bytes=1000)
         for number in range(5):
             link.send(build.note(number, bytes(400)))
-        await self.served.until(lambda: len(self.served.messages) == 5)
+        await self.server_handler.until(
+            lambda: len(self.server_handler.messages) == 5
+        )
         self.assertEqual(3, link.sent_frames)
 
 
@@ -222,10 +232,10 @@
         healthy.flush.assert_called_once_with()
 
     async def test_quiet_links_do_not_wait_for_company(self):
-        """A caller waits three times as long as its request takes.
+        """A single request took three times as long as it should.
 
-        Offer, head and end of a lone request each wait for the timer that
-        is meant to let the tokens of many streams share a frame.
+        Its offer, head and end each waited for the timer that is meant to
+        let the tokens of many streams share a frame.
         """
         flusher = links.Flusher(60_000)
         link = mock.Mock()
@@ -244,23 +254,23 @@
         with self.assertLogs('berylhollow.link', 'WARNING'):
             link = await self.start_client(key=b'another key')
             await self.client.wait()
-        self.assertEqual([Reason.AUTHENTICATION], self.dialled.downs)
+        self.assertEqual([Reason.AUTHENTICATION], self.client_handler.downs)
         self.assertFalse(link.send(build.note(1)))
-        self.assertEqual([], self.served.ups)
+        self.assertEqual([], self.server_handler.ups)
 
     async def test_server_without_the_key(self):
-        """A stranger listens where a sidecar used to be."""
+        """A server without the key listens on the address of a sidecar."""
         await self.start_server()
         self.server.key = b'another key'
-        anything = mock.patch.object(
+        accepting = mock.patch.object(
             _handshake.ServerHandshake, 'receive', accept_anything
         )
-        self.enterContext(anything)
+        self.enterContext(accepting)
         with self.assertLogs('berylhollow.link', 'WARNING'):
             await self.start_client()
             await self.client.wait()
-        self.assertEqual([Reason.AUTHENTICATION], self.dialled.downs)
-        self.assertEqual([], self.dialled.ups)
+        self.assertEqual([Reason.AUTHENTICATION], self.client_handler.downs)
+        self.assertEqual([], self.client_handler.ups)
 
     async def test_message_without_handshake(self):
         await self.start_server()
@@ -270,13 +280,13 @@
             await self.assert_refused(connection, Reason.AUTHENTICATION)
 
     async def test_replayed_handshake(self):
-        """Someone recorded a gateway's handshake and sends it again.
+        """An attacker replays the recorded handshake of a gateway.
 
-        The proof signs the server's nonce, which is new each time.
+        The proof covers the server's nonce, which is new each time.
         """
         await self.start_server()
         recorded = await authenticate(await self.connect_raw())
-        self.served.ups.clear()
+        self.server_handler.ups.clear()
         connection = await self.connect_raw()
         await connection.send(recorded[0])
         await connection.recv()
@@ -285,10 +295,10 @@
             with self.assertRaises(exceptions.ConnectionClosed) as caught:
                 await connection.recv()
         self.assertEqual(Reason.AUTHENTICATION, caught.exception.rcvd.code)
-        self.assertEqual([], self.served.ups)
+        self.assertEqual([], self.server_handler.ups)
 
     async def test_proof_of_one_end_is_not_the_other_ends(self):
-        """An attacker sends a client's own proof back as the server's."""
+        """An attacker reflects a client's own proof as the server's."""
         handshake = _handshake.ClientHandshake(build.KEY, build.GATEWAY)
         challenge = _handshake.Challenge(bytes(_handshake.NONCE_BYTES))
         handshake.receive(_handshake.pack(challenge))
@@ -320,11 +330,11 @@
         self.addCleanup(listener.close)
         port = listener.sockets[0].getsockname()[1]
         await self.start_client(port=port, handshake_timeout_ms=50)
-        self.assertEqual([Reason.HANDSHAKE_TIMEOUT], self.dialled.downs)
+        self.assertEqual([Reason.HANDSHAKE_TIMEOUT], self.client_handler.downs)
 
 
 async def authenticate(connection):
-    """Prove the key on a raw connection; return what was sent for it."""
+    """Authenticate a raw connection; return both messages sent."""
     handshake = _handshake.ClientHandshake(build.KEY, build.GATEWAY)
     hello = handshake.begin()
     await connection.send(hello)
@@ -335,7 +345,7 @@
 
 
 def accept_anything(handshake, data):
-    """Answer as a server does that has no key to check the proof with."""
+    """Reply like a server that can't check the proof."""
     if handshake.hello is None:
         handshake.hello = _handshake.unpack(data, _handshake.Hello)
         return _handshake.pack(_handshake.Challenge(handshake.nonce))
--- a/test/test_link_codec.py
+++ b/test/test_link_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the wire form of messages."""
+"""Tests of the encoding of messages."""
 
 import dataclasses
 import unittest
@@ -43,10 +43,10 @@
         self.assertEqual([10, 'note', 5, b'x'], cbor2.loads(data))
 
     def test_newer_peer(self):
-        """A rollout: the peer knows more than we do.
+        """During a rollout the peer may run a newer version.
 
-        Its messages with a new tag or a new enum value are left out and
-        counted, its new trailing fields ignored; all else still arrives.
+        Its messages with an unknown tag or enum value are skipped and
+        counted, and new trailing fields are ignored. All others arrive.
         """
         known = self.decode(
             [99, 'new'],
