--- a/test/hosted/test_workspaces.py
+++ b/test/hosted/test_workspaces.py
@@ -103,8 +103,8 @@
 
     def setUp(self):
         super().setUp()
-        self.state.follower.keys.bound_ms = 5000
-        self.state.follower.keys.read(0)
+        self.state.follower.key_proof.bound_ms = 5000
+        self.state.follower.key_proof.record_read(0)
 
     def options(self):
         return {'neighbours_ms': 1000, 'keys_ready_ms': 2750}
