--- a/berylhollow/standin/__init__.py
+++ b/berylhollow/standin/__init__.py
@@ -1,6 +1,6 @@
-"""Small stand-ins of the outside systems, for tests and for trying out.
+"""Stand-ins for the external systems, for tests and for local trials.
 
 The models (``log``, ``instances``, ``weights``, ``engine``) have no I/O and
-no clock: the caller passes ``now_ms``, which must never go back. The servers
-put the same models behind HTTP.
+no clock: the caller passes ``now_ms``, which must never decrease. The servers
+expose the same models over HTTP.
 """
--- a/berylhollow/standin/_http.py
+++ b/berylhollow/standin/_http.py
@@ -1,4 +1,4 @@
-"""What the HTTP stand-ins share."""
+"""Timers, responses and startup shared by the HTTP stand-ins."""
 
 import asyncio
 import collections.abc
@@ -13,8 +13,8 @@
 
 MS_PER_SECOND = 1000
 SHUTDOWN_S = 60.0
-LARGEST_BODY = 16 * 1024 * 1024
-STATUSES = {
+MAX_BODY_BYTES = 16 * 1024 * 1024
+STATUS_BY_FAILURE = {
     failures.Unavailable: 503,
     failures.RateLimited: 429,
     failures.OffsetGone: 410,
@@ -27,12 +27,12 @@
 
 
 def wall_ms() -> int:
-    """Return the wall clock, which the platform's records carry."""
+    """Return the wall-clock time, which dates the platform's records."""
     return time.time_ns() // 1_000_000
 
 
-class Alarm:
-    """Call a model when its next event is due."""
+class Timer:
+    """Calls ``callback`` at a given time, when a model's next event is due."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self.handle: asyncio.TimerHandle | None = None
 
     def set(self, at_ms: float) -> None:
-        """Call at this moment instead of the one set before."""
+        """Replace the time of the next call; infinity cancels it."""
         if self.handle is not None:
             self.handle.cancel()
             self.handle = None
@@ -55,46 +55,50 @@
         self.handle = loop.call_later(wait_s, self.callback)
 
 
-def error_answer(code: str, status: int, **detail) -> web.Response:
-    """Return an answer that refuses the call."""
+def error_response(code: str, status: int, **detail) -> web.Response:
+    """Return a JSON error response with a code and details."""
     return web.json_response({'error': code, **detail}, status=status)
 
 
-def failure_answer(failure: failures.StandInError) -> web.Response:
-    """Return the answer of a model's failure."""
+def failure_response(failure: failures.StandInError) -> web.Response:
+    """Return the error response for a model's failure."""
     detail = {'message': str(failure)}
     if isinstance(failure, failures.OffsetGone):
         detail['first_offset'] = failure.first_offset
-    return error_answer(failure.code, STATUSES[type(failure)], **detail)
+    return error_response(
+        failure.code, STATUS_BY_FAILURE[type(failure)], **detail
+    )
 
 
-def reset(request: web.Request) -> web.Response:
-    """Break the connection; the answer returned never leaves."""
+def reset_connection(request: web.Request) -> web.Response:
+    """Abort the connection; the returned response is never sent."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
 
 
 @web.middleware
-async def answer_failures(request: web.Request, handler) -> web.StreamResponse:
-    """Turn failures of the models into answers."""
+async def convert_failures(
+    request: web.Request, handler
+) -> web.StreamResponse:
+    """Convert failures of the models and bad requests into responses."""
     try:
         return await handler(request)
     except failures.AnswerLost:
-        return reset(request)
+        return reset_connection(request)
     except failures.StandInError as failure:
-        return failure_answer(failure)
+        return failure_response(failure)
     except (KeyError, TypeError, ValueError) as error:
-        return error_answer('bad_request', 400, message=repr(error))
+        return error_response('bad_request', 400, message=repr(error))
 
 
 async def healthz(request: web.Request) -> web.Response:
-    """Say that the process is up."""
+    """Report that the process is up."""
     return web.json_response({'status': 'ok'})
 
 
 async def read_fault(request: web.Request, kinds) -> tuple[str, float]:
-    """Return the fault that a call asks for and how long it is to last."""
+    """Return the fault that a call requests and its duration."""
     value = await request.json()
     for_ms = value.get('for_ms')
     return kinds(value['fault']), math.inf if for_ms is None else for_ms
@@ -116,9 +120,9 @@
 
 
 def make_application() -> web.Application:
-    """Return an application with what all stand-ins have."""
+    """Return an application with the parts common to all stand-ins."""
     application = web.Application(
-        middlewares=(answer_failures,), client_max_size=LARGEST_BODY
+        middlewares=(convert_failures,), client_max_size=MAX_BODY_BYTES
     )
     application.router.add_get('/healthz', healthz)
     return application
@@ -126,9 +130,9 @@
 
 @contextlib.asynccontextmanager
 async def listening(application: web.Application, host: str, port: int):
-    """Serve while inside; gives the port, which for 0 is a free one.
+    """Serve within the context and yield the port; 0 picks a free one.
 
-    A client that goes away cancels its handler, as real engines do.
+    A client that disconnects cancels its handler, as in real engines.
     """
     runner = web.AppRunner(
         application,
--- a/berylhollow/standin/batch.py
+++ b/berylhollow/standin/batch.py
@@ -1,4 +1,4 @@
-"""The requests of an engine model: its waiting queue and its batch."""
+"""The waiting queue and the running batch of an engine model."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass
 class Job:
-    """A request inside the engine, bound to a slot when it was taken in."""
+    """A request inside the engine, bound to a slot when submitted."""
 
     ticket: int
     slot: int
@@ -18,7 +18,7 @@
     tokens: int = 0
     ran: tuple[messages.AdapterVersion, ...] = ()
 
-    def note_adapter(self, adapter: messages.AdapterVersion) -> None:
+    def record_adapter(self, adapter: messages.AdapterVersion) -> None:
         if not self.ran or self.ran[-1] != adapter:
             self.ran += (adapter,)
 
@@ -44,25 +44,25 @@
         self.running: list[Job] = []
 
     def admit(self) -> list[Job]:
-        """Fill the batch from the queue; return the jobs that it took."""
-        self.waiting.sort(key=_urgency)
-        room = self.limits.batch_limit - len(self.running)
-        taken = self.waiting[:room]
-        del self.waiting[:room]
-        self.running.extend(taken)
-        return taken
+        """Fill the batch from the queue; return the admitted jobs."""
+        self.waiting.sort(key=_admission_key)
+        free = self.limits.batch_limit - len(self.running)
+        admitted = self.waiting[:free]
+        del self.waiting[:free]
+        self.running.extend(admitted)
+        return admitted
 
     def prefill(self) -> int:
-        """Prefill a chunk of prompts in order; return its tokens."""
-        room = self.limits.prefill_chunk
+        """Prefill one chunk of prompt tokens in order; return its size."""
+        budget = self.limits.prefill_chunk
         for job in self.running:
-            part = min(room, job.prefill_left)
-            job.prefill_left -= part
-            room -= part
-        return self.limits.prefill_chunk - room
+            chunk = min(budget, job.prefill_left)
+            job.prefill_left -= chunk
+            budget -= chunk
+        return self.limits.prefill_chunk - budget
 
     def step_ms(self, prefilled: int, adapters: int) -> float:
-        """Return what a step of the present batch costs."""
+        """Return the duration of a step of the current batch."""
         limits = self.limits
         return (
             limits.step_ms
@@ -72,15 +72,15 @@
         )
 
     def find(self, request: str) -> list[Job]:
-        """Return every job of a request id."""
+        """Return all jobs with this request ID."""
         return [
             job
             for job in self.waiting + self.running
             if job.request.request == request
         ]
 
-    def drop(self, job: Job) -> bool:
-        """Take a job out; return whether it was running."""
+    def remove_job(self, job: Job) -> bool:
+        """Remove a job; return whether it was running."""
         if job in self.running:
             self.running.remove(job)
             return True
@@ -88,5 +88,5 @@
         return False
 
 
-def _urgency(job: Job) -> tuple[int, int]:
+def _admission_key(job: Job) -> tuple[int, int]:
     return (-job.request.priority, job.ticket)
--- a/berylhollow/standin/completions.py
+++ b/berylhollow/standin/completions.py
@@ -1,7 +1,7 @@
-"""Completion requests and answers as the stand-in engine speaks them.
+"""Parsing of completion requests and writing of their responses.
 
-The text of an answer names the adapter that produced it and the request's
-last message, so that a test can tell that an answer belongs to its request.
+A response's text holds the adapter that produced it and the request's last
+message, so that a test can check that a response belongs to its request.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 
 DEFAULT_OUTPUT_TOKENS = 16
 CRASH_MARK = b'crash-this-engine'
-LONGEST_ECHO = 400
+MAX_ECHO_CHARS = 400
 DONE = b'data: [DONE]\n\n'
 
 
@@ -30,17 +30,17 @@
 def parse(
     body: bytes, chat: bool, request_id: str, priority: int
 ) -> Completion:
-    """Return the request of a body; ``ValueError`` or ``KeyError`` if bad."""
+    """Parse a request body; raises ``ValueError`` or ``KeyError`` if bad."""
     value = json.loads(body)
     adapter, separator, version = value['model'].rpartition('@')
     if not separator:
         raise ValueError('the model is no adapter@version')
     texts = _texts(value, chat)
-    first_tokens = _count(texts[0]) if len(texts) > 1 else 0
+    first_tokens = _count_tokens(texts[0]) if len(texts) > 1 else 0
     request = engine_types.EngineRequest(
         request=request_id,
         adapter=messages.AdapterVersion(adapter, version),
-        prompt_tokens=sum(_count(text) for text in texts),
+        prompt_tokens=sum(_count_tokens(text) for text in texts),
         output_tokens=max(1, _output_tokens(value)),
         priority=priority,
         prefix=hashlib.sha256(texts[0].encode()).hexdigest()[:16],
@@ -48,7 +48,7 @@
         crashes_engine=CRASH_MARK in body,
     )
     return Completion(
-        request, chat, value.get('stream') is True, texts[-1][:LONGEST_ECHO]
+        request, chat, value.get('stream') is True, texts[-1][:MAX_ECHO_CHARS]
     )
 
 
@@ -64,12 +64,12 @@
     return DEFAULT_OUTPUT_TOKENS if tokens is None else int(tokens)
 
 
-def _count(text: str) -> int:
+def _count_tokens(text: str) -> int:
     return len(text.split())
 
 
-class Writer:
-    """Make the text, chunks and answer of one completion."""
+class ResponseWriter:
+    """Makes the text, chunks and response body of one completion."""
 
     def __init__(self, completion: Completion):
         self.completion = completion
@@ -77,12 +77,12 @@
         self.texts: list[str] = []
 
     def text(self, token: engine_types.Token) -> str:
-        """Return a token's text; it names its adapter when that changes."""
+        """Return a token's text, with its adapter whenever that changes."""
         if token.adapter != self.adapter:
-            named = f'[{token.adapter}]'
+            label = f'[{token.adapter}]'
             if token.index == 0:
-                named += f' {self.completion.last_message}'
-            text = named if token.index == 0 else f' {named}'
+                label += f' {self.completion.last_message}'
+            text = label if token.index == 0 else f' {label}'
         else:
             text = f' {token.index}'
         self.adapter = token.adapter
@@ -90,7 +90,7 @@
         return text
 
     def first_chunk(self) -> bytes:
-        """Return the chunk with the role; nothing but for a chat."""
+        """Return the chunk with the role; empty unless this is a chat."""
         if not self.completion.chat:
             return b''
         return self.chunk({'delta': {'role': 'assistant', 'content': ''}})
@@ -103,36 +103,36 @@
         return self.chunk({'text': text})
 
     def last_chunks(self, finished: engine_types.Finished) -> bytes:
-        """Return the chunks with the reason and the usage, and the end."""
+        """Return the chunks with finish reason and usage, and ``[DONE]``."""
         part = {'delta': {}} if self.completion.chat else {'text': ''}
         reason = self.chunk(part, 'length')
-        usage = self.event([], self.usage(finished))
+        usage = self.sse_event([], self.usage(finished))
         return reason + usage + DONE
 
     def chunk(self, part: dict, finish_reason: str | None = None) -> bytes:
         choice = {'index': 0, 'finish_reason': finish_reason, **part}
-        return self.event([choice])
+        return self.sse_event([choice])
 
-    def event(self, choices: list, usage: dict | None = None) -> bytes:
-        value = self.head('chat.completion.chunk')
+    def sse_event(self, choices: list, usage: dict | None = None) -> bytes:
+        value = self.common_fields('chat.completion.chunk')
         value['choices'] = choices
         if usage is not None:
             value['usage'] = usage
         return b'data: ' + json.dumps(value).encode() + b'\n\n'
 
     def answer(self, finished: engine_types.Finished) -> dict:
-        """Return the answer that is not streamed."""
+        """Return the body of a response that is not streamed."""
         text = ''.join(self.texts)
         if self.completion.chat:
             part = {'message': {'role': 'assistant', 'content': text}}
         else:
             part = {'text': text}
-        value = self.head('chat.completion')
+        value = self.common_fields('chat.completion')
         value['choices'] = [{'index': 0, 'finish_reason': 'length', **part}]
         value['usage'] = self.usage(finished)
         return value
 
-    def head(self, chat_object: str) -> dict:
+    def common_fields(self, chat_object: str) -> dict:
         chat = self.completion.chat
         return {
             'id': self.completion.request.request,
--- a/berylhollow/standin/direct_endpoint.py
+++ b/berylhollow/standin/direct_endpoint.py
@@ -1,4 +1,4 @@
-"""A stand-in of an endpoint that takes requests and orders directly."""
+"""A stand-in for an endpoint that takes requests and orders directly."""
 
 import asyncio
 import dataclasses
@@ -6,7 +6,7 @@
 from aiohttp import web
 import multidict
 
-NOT_RUN = {'Not-Executed': '1'}
+NOT_EXECUTED_HEADERS = {'Not-Executed': '1'}
 
 
 @dataclasses.dataclass
@@ -22,14 +22,14 @@
 
 @dataclasses.dataclass
 class Faults:
-    """What is wrong with the endpoint.
+    """Faults of the endpoint that a test switches on.
 
     ``full`` refuses requests, ``fails`` answers 500 after running,
-    ``cuts`` breaks the answer off, ``other_id`` answers for another request,
-    ``hangs`` never answers, ``unsigned`` leaves the signature out.
-    ``rate_limits`` and ``leaving`` are the values of the headers that name
-    its limit and tell that it leaves, which stand in every answer; ``pauses``
-    those of the header that asks for a pause.
+    ``cuts`` aborts the response after its first event, ``other_id`` returns
+    another request's ID, ``hangs`` never answers, ``unsigned`` omits the
+    ``Server-Seal`` header. ``rate_limits``, ``leaving`` and ``pauses`` are
+    the values of ``Server-Limit``, ``Server-Leaving`` and ``Retry-After``,
+    which every response carries.
     """
 
     full: bool = False
@@ -44,7 +44,11 @@
 
 
 class DirectEndpoint:
-    """Runs requests for what it holds and carries orders out at once."""
+    """Runs requests for its loaded adapters and executes orders at once.
+
+    ``gone`` lists the IDs of requests whose connection broke during the
+    response.
+    """
 
     def __init__(self, instance: str, slots: int = 6):
         self.instance = instance
@@ -58,13 +62,13 @@
         self.faults = Faults()
 
     def restart(self, instance: str) -> None:
-        """Come back empty, as another incarnation."""
+        """Restart as a new incarnation with nothing loaded."""
         self.instance = instance
         self.models = {}
         self.orders = 0
 
     def add_to(self, application: web.Application) -> None:
-        """Add the routes; any other path is a request."""
+        """Add the routes; any other path is treated as a request."""
         application.on_response_prepare.append(self._add_notices)
         router = application.router
         router.add_get('/v1/report', self._report)
@@ -130,10 +134,14 @@
             headers['Instance-Id'] = self.instance
             return web.Response(status=421, headers=headers)
         if self.faults.full:
-            return web.Response(status=503, headers=headers | NOT_RUN)
+            return web.Response(
+                status=503, headers=headers | NOT_EXECUTED_HEADERS
+            )
         model, _, adapter = request.headers.get('Model', '').partition('/')
-        if adapter and not self._holds(request, model, adapter):
-            return web.Response(status=421, headers=headers | NOT_RUN)
+        if adapter and not self._has_adapter(request, model, adapter):
+            return web.Response(
+                status=421, headers=headers | NOT_EXECUTED_HEADERS
+            )
         self.ran.append(
             Ran(
                 headers['Request-Id'],
@@ -145,7 +153,9 @@
         )
         return await self._answer(request, headers)
 
-    def _holds(self, request: web.Request, model: str, adapter: str) -> bool:
+    def _has_adapter(
+        self, request: web.Request, model: str, adapter: str
+    ) -> bool:
         version = self.models.get(model, {}).get(adapter)
         wanted = request.headers.get('Expect-Version', str(version))
         return version is not None and wanted == str(version)
--- a/berylhollow/standin/engine_server.py
+++ b/berylhollow/standin/engine_server.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP."""
+"""The engine model over HTTP."""
 
 import asyncio
 import itertools
@@ -22,7 +22,7 @@
 ADAPTER_HEADER = 'X-Engine-Adapter'
 EPOCH_HEADER = 'X-Engine-Epoch'
 POLL_S = 0.02
-PASSED_ON = frozenset({404, 429})
+FORWARDED_STATUSES = frozenset({404, 429})
 
 
 class EngineServer:
@@ -31,12 +31,12 @@
     def __init__(self, model: engine.EngineModel, platform_url: str):
         self.model = model
         self.platform_url = platform_url
-        self.store: weight_client.WeightClient | None = None
+        self.weights: weight_client.WeightClient | None = None
         self.clock = clock.MonotonicClock()
-        self.alarm = _http.Alarm(self.clock.now_ms, self.advance)
+        self.timer = _http.Timer(self.clock.now_ms, self.advance)
         self.outputs: dict[int, asyncio.Queue] = {}
         self.loads: set[asyncio.Task] = set()
-        self.numbers = itertools.count()
+        self.unnamed_numbers = itertools.count()
 
     def add_to(self, application: web.Application) -> None:
         router = application.router
@@ -49,32 +49,32 @@
         router.add_post('/v1/chat/completions', self.chat)
         router.add_post('/v1/completions', self.complete)
         router.add_post('/faults', self.fault)
-        application.cleanup_ctx.append(self.connected)
+        application.cleanup_ctx.append(self.weight_client_context)
 
-    async def connected(self, application: web.Application):
-        """Hold the connections to the weight store while serving."""
-        self.store = weight_client.WeightClient(self.platform_url)
+    async def weight_client_context(self, application: web.Application):
+        """Keep a weight store client open while the application runs."""
+        self.weights = weight_client.WeightClient(self.platform_url)
         yield
-        await self.store.close()
+        await self.weights.close()
 
     def advance(self) -> None:
-        """Hand out what the model has produced and wait for more."""
+        """Deliver the model's outputs and schedule the next call."""
         for output in self.model.advance(self.clock.now_ms()):
             queue = self.outputs.get(output.ticket)
             if queue is not None:
                 queue.put_nowait(output)
-        self.alarm.set(self.model.next_event_ms())
+        self.timer.set(self.model.next_event_ms())
 
-    async def answering(self, request: web.Request) -> bool:
-        """Wait while the engine hangs; return False if it is down.
+    async def is_up_after_hang(self, request: web.Request) -> bool:
+        """Wait while the engine hangs, then return whether it is up.
 
-        A process that is down answers nothing, not even an error.
+        A process that is down sends nothing, not even an error.
         """
         hang = faults.EngineFault.HANG
         while self.model.faults.active(hang, self.clock.now_ms()):
             await asyncio.sleep(POLL_S)
         try:
-            self.model.check_up(self.clock.now_ms())
+            self.model.check_available(self.clock.now_ms())
         except failures.Unavailable:
             return False
         return True
@@ -82,77 +82,77 @@
     # Control
 
     async def status(self, request: web.Request) -> web.Response:
-        if not await self.answering(request):
-            return _http.reset(request)
+        if not await self.is_up_after_hang(request):
+            return _http.reset_connection(request)
         status = self.model.status(self.clock.now_ms())
         return web.json_response(_status_value(status))
 
     async def load(self, request: web.Request) -> web.Response:
-        if not await self.answering(request):
-            return _http.reset(request)
+        if not await self.is_up_after_hang(request):
+            return _http.reset_connection(request)
         value = await request.json()
         adapter = messages.AdapterVersion(value['adapter'], value['version'])
         order = _order(value, adapter)
         self.model.begin_load(order, self.clock.now_ms())
-        # A load that was begun goes on when the one who ordered it has gone:
-        # cancelled with its handler, it would leave its slot loading for ever.
+        # The load continues if the client disconnects: if it were cancelled
+        # with its handler, the slot would stay in the loading state forever.
         task = asyncio.create_task(self.run_load(order))
         self.loads.add(task)
         task.add_done_callback(self.loads.discard)
         answer = await asyncio.shield(task)
         lost = faults.EngineFault.LOAD_ANSWER_LOST
         if self.model.faults.active(lost, self.clock.now_ms()):
-            return _http.reset(request)
+            return _http.reset_connection(request)
         return answer
 
     async def run_load(self, order: endpoint.SlotOrder) -> web.Response:
         failed = await self.fetch(order.adapter)
         fails = faults.EngineFault.LOAD_FAILS
         if self.model.faults.active(fails, self.clock.now_ms()):
-            failed = _http.error_answer('load_failed', 503)
+            failed = _http.error_response('load_failed', 503)
         ready = self.model.finish_load(
             order.order, failed is None, self.clock.now_ms()
         )
         if order.epoch != self.model.epoch:
-            return _http.error_answer('wrong_epoch', 409)
+            return _http.error_response('wrong_epoch', 409)
         if failed is not None:
             return failed
         if not ready:
-            return _http.error_answer('superseded', 409)
+            return _http.error_response('superseded', 409)
         return web.json_response({'epoch': order.epoch, 'slot': order.slot})
 
     async def fetch(
         self, adapter: messages.AdapterVersion
     ) -> web.Response | None:
-        """Fetch weights; return the answer to the order if that fails."""
+        """Fetch weights; return the error response if that fails."""
         try:
-            await self.store.load(adapter)
+            await self.weights.load(adapter)
         except outgoing.Refused as refused:
-            if refused.status in PASSED_ON:
-                return _http.error_answer(refused.kind, refused.status)
-            return _http.error_answer('weights_unavailable', 503)
+            if refused.status in FORWARDED_STATUSES:
+                return _http.error_response(refused.kind, refused.status)
+            return _http.error_response('weights_unavailable', 503)
         except outgoing.CallError:
-            return _http.error_answer('weights_unavailable', 503)
+            return _http.error_response('weights_unavailable', 503)
         return None
 
     async def unload(self, request: web.Request) -> web.Response:
-        if not await self.answering(request):
-            return _http.reset(request)
+        if not await self.is_up_after_hang(request):
+            return _http.reset_connection(request)
         order = _order(await request.json(), None)
         self.model.unload(order, self.clock.now_ms())
         return web.json_response({'epoch': order.epoch, 'slot': order.slot})
 
     async def cancel(self, request: web.Request) -> web.Response:
-        if not await self.answering(request):
-            return _http.reset(request)
+        if not await self.is_up_after_hang(request):
+            return _http.reset_connection(request)
         value = await request.json()
         cancelled = self.model.cancel(value['request'], self.clock.now_ms())
         self.advance()
         return web.json_response({'cancelled': cancelled})
 
     async def events(self, request: web.Request) -> web.Response:
-        if not await self.answering(request):
-            return _http.reset(request)
+        if not await self.is_up_after_hang(request):
+            return _http.reset_connection(request)
         after = int(request.query.get('after', '0'))
         events = self.model.events(after, self.clock.now_ms())
         return web.json_response({'events': [_event_value(x) for x in events]})
@@ -186,13 +186,13 @@
         self, request: web.Request, chat: bool
     ) -> web.StreamResponse:
         body = await request.read()
-        if not await self.answering(request):
-            return _http.reset(request)
+        if not await self.is_up_after_hang(request):
+            return _http.reset_connection(request)
         request_id = request.headers.get(REQUEST_HEADER)
         completion = completions.parse(
             body,
             chat,
-            request_id or f'unnamed-{next(self.numbers)}',
+            request_id or f'unnamed-{next(self.unnamed_numbers)}',
             int(request.headers.get(PRIORITY_HEADER, '0')),
         )
         now_ms = self.clock.now_ms()
@@ -202,25 +202,25 @@
         self.advance()
         try:
             if completion.stream:
-                return await self.stream(request, completion, queue)
-            return await self.whole(request, completion, queue)
+                return await self.respond_streaming(request, completion, queue)
+            return await self.respond_whole(request, completion, queue)
         finally:
             del self.outputs[ticket]
             self.model.abandon(ticket, self.clock.now_ms())
 
-    async def stream(
+    async def respond_streaming(
         self,
         request: web.Request,
         completion: completions.Completion,
         queue: asyncio.Queue,
     ) -> web.StreamResponse:
-        """Answer in chunks, one a token, from the first token on."""
-        writer = completions.Writer(completion)
+        """Stream one chunk per token, starting at the first token."""
+        writer = completions.ResponseWriter(completion)
         response: web.StreamResponse | None = None
         while True:
-            outputs = await _take(queue)
+            outputs = await _next_outputs(queue)
             if isinstance(outputs[-1], engine_types.Broken):
-                return _http.reset(request)
+                return _http.reset_connection(request)
             if response is None:
                 response = web.StreamResponse(
                     headers=self.headers(outputs[0].adapter)
@@ -233,18 +233,18 @@
                 await response.write_eof()
                 return response
 
-    async def whole(
+    async def respond_whole(
         self,
         request: web.Request,
         completion: completions.Completion,
         queue: asyncio.Queue,
     ) -> web.StreamResponse:
-        """Answer in one piece; the adapter is that of the last token."""
-        writer = completions.Writer(completion)
+        """Respond unstreamed; the adapter is that of the last token."""
+        writer = completions.ResponseWriter(completion)
         while True:
-            for output in await _take(queue):
+            for output in await _next_outputs(queue):
                 if isinstance(output, engine_types.Broken):
-                    return _http.reset(request)
+                    return _http.reset_connection(request)
                 if isinstance(output, engine_types.Finished):
                     return web.json_response(
                         writer.answer(output),
@@ -256,15 +256,15 @@
         return {ADAPTER_HEADER: str(adapter), EPOCH_HEADER: self.model.epoch}
 
 
-async def _take(queue: asyncio.Queue) -> list[engine_types.Output]:
-    """Return all outputs that are there, at least one."""
+async def _next_outputs(queue: asyncio.Queue) -> list[engine_types.Output]:
+    """Wait for an output; return all that are queued."""
     outputs = [await queue.get()]
     while not queue.empty():
         outputs.append(queue.get_nowait())
     return outputs
 
 
-def _chunks(writer: completions.Writer, outputs: list):
+def _chunks(writer: completions.ResponseWriter, outputs: list):
     for output in outputs:
         if isinstance(output, engine_types.Finished):
             yield writer.last_chunks(output)
@@ -332,7 +332,7 @@
 
 
 def make_application(settings) -> web.Application:
-    """Return the engine of a ``settings.EngineSettings``."""
+    """Return the application for a ``settings.EngineSettings``."""
     limits = engine_types.EngineLimits(
         slot_count=settings.slots,
         batch_limit=settings.batch_limit,
@@ -341,7 +341,7 @@
         status_lag_ms=settings.status_lag_ms,
         checks_fencing=settings.checks_fencing,
     )
-    # An epoch must never come again, also not when the process restarts.
+    # The start time keeps epochs unique across restarts of the process.
     name = f'{settings.instance}-{_http.wall_ms()}'
     server = EngineServer(
         engine.EngineModel(name, limits), settings.platform.url
--- a/berylhollow/standin/engine_types.py
+++ b/berylhollow/standin/engine_types.py
@@ -1,4 +1,4 @@
-"""Data of the engine model."""
+"""Data classes of the engine model."""
 
 import dataclasses
 import enum
@@ -10,14 +10,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineLimits:
-    """Size and cost of an engine.
+    """Capacity, step times and lags of an engine.
 
     A step of n requests on d distinct adapters that prefills p prompt tokens
     takes
 
         step_ms + n * request_ms + d * adapter_ms + p * prefill_ms
 
-    and gives one token to every request whose prompt is through. At most
+    and produces a token for each request whose prompt is prefilled. At most
     ``prefill_chunk`` prompt tokens are prefilled in a step.
     """
 
@@ -40,10 +40,10 @@
 
 @dataclasses.dataclass
 class Usage:
-    """How an engine spent its time, over all its lives.
+    """How an engine spent its time, across restarts.
 
-    ``busy_ms`` is the time in steps, ``places`` the sum of their batch
-    sizes, ``tokens`` what they produced.
+    ``busy_ms`` is the total duration of its steps, ``places`` the sum of their
+    batch sizes, ``tokens`` the number of tokens produced.
     """
 
     busy_ms: float = 0
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineRequest:
-    """A request as the engine sees it; a larger priority goes first.
+    """A request to the engine; a higher priority is admitted first.
 
     ``prefix`` names the start of the prompt, ``prefix_tokens`` long, that
     the prefix cache may hold.
@@ -72,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Token:
-    """One token; ``adapter`` is what really produced it."""
+    """One token; ``adapter`` is the one that actually produced it."""
 
     ticket: int
     index: int
@@ -82,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Finished:
-    """A request has all its tokens."""
+    """The output that ends a request with all its tokens."""
 
     ticket: int
     adapter: messages.AdapterVersion
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Broken:
-    """A request ended without its answer: a crash or a cancel."""
+    """The output that ends a request after a crash or a cancel."""
 
     ticket: int
     at_ms: float
@@ -110,10 +110,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Run:
-    """The engine's own record of a request that it began to run.
+    """The engine's record of a request that it began to run.
 
-    ``ran`` lists every adapter that produced a token of it, in order. A
-    request that only waited has no record.
+    ``ran`` lists the adapters that produced its tokens, in order. A request
+    that only waited has no record.
     """
 
     request: str
@@ -125,5 +125,5 @@
 
     @property
     def wrong_adapter(self) -> bool:
-        """Whether any token came from another adapter than was asked."""
+        """Whether any token came from an adapter other than ``wanted``."""
         return any(adapter != self.wanted for adapter in self.ran)
--- a/berylhollow/standin/failures.py
+++ b/berylhollow/standin/failures.py
@@ -1,8 +1,8 @@
-"""How the models fail."""
+"""Exceptions that the models raise."""
 
 
 class StandInError(Exception):
-    """A model refuses or breaks; ``code`` is what goes over the wire."""
+    """Base class of the models' failures; ``code`` is sent to clients."""
 
     code = 'failed'
 
@@ -14,13 +14,13 @@
 
 
 class RateLimited(StandInError):
-    """Over the rate; nothing was done."""
+    """The rate limit is exceeded; nothing was done."""
 
     code = 'rate_limited'
 
 
 class AnswerLost(StandInError):
-    """The action took effect, but its answer never arrives."""
+    """The action took effect, but its response is lost."""
 
     code = 'answer_lost'
 
@@ -48,7 +48,7 @@
 
 
 class WrongEpoch(StandInError):
-    """The order or request is for another life of the engine."""
+    """The order is for another epoch of the engine."""
 
     code = 'wrong_epoch'
 
--- a/berylhollow/standin/faults.py
+++ b/berylhollow/standin/faults.py
@@ -1,4 +1,4 @@
-"""Fault switches: which faults are on, and until when."""
+"""The kinds of faults, and switches with the time span of each."""
 
 import enum
 import math
@@ -7,7 +7,7 @@
 class PlatformFault(enum.StrEnum):
     """Faults of the platform: log, instance list and weight store.
 
-    APPEND_ANSWER_LOST makes appends take effect and their answers fail;
+    APPEND_ANSWER_LOST lets appends take effect but loses their responses;
     LOAD_FAILS fails loads that end while it is on; LOAD_HANGS stops the
     progress of loads that begin while it is on.
     """
@@ -25,9 +25,9 @@
 class EngineFault(enum.StrEnum):
     """Faults of a model engine.
 
-    CRASH and RESTART are over at once: CRASH keeps the engine down for its
-    restart time, RESTART comes back cold immediately. LOAD_ANSWER_LOST makes
-    a load take effect and breaks the connection before the answer.
+    CRASH and RESTART are single events: CRASH keeps the engine down for its
+    restart time, RESTART restarts it empty at once. LOAD_ANSWER_LOST lets a
+    load take effect and resets the connection before the response.
     """
 
     CRASH = 'crash'
@@ -42,8 +42,8 @@
 class ServiceFault(enum.StrEnum):
     """Faults of a plain service.
 
-    RESET_BEFORE_RUN breaks the connection before the call runs,
-    RESET_AFTER_RUN when it has run and before its answer.
+    RESET_BEFORE_RUN resets the connection before the call runs,
+    RESET_AFTER_RUN after it has run and before the response.
     """
 
     CRASH = 'crash'
@@ -54,7 +54,7 @@
 
 
 class FaultSwitches:
-    """Faults that are on for a span of time."""
+    """Turns faults on for a span of time."""
 
     def __init__(self):
         self.spans: dict[str, tuple[float, float]] = {}
@@ -62,7 +62,7 @@
     def start(
         self, fault: str, now_ms: float, for_ms: float = math.inf
     ) -> None:
-        """Turn a fault on; a second start replaces the first."""
+        """Turn a fault on; a later start replaces an earlier one."""
         self.spans[fault] = (now_ms, now_ms + for_ms)
 
     def stop(self, fault: str) -> None:
--- a/berylhollow/standin/http_service.py
+++ b/berylhollow/standin/http_service.py
@@ -1,4 +1,4 @@
-"""A stand-in as a service of its process."""
+"""An aiomisc service that serves a stand-in's application."""
 
 import contextlib
 import logging
@@ -12,9 +12,9 @@
 
 
 class HttpService(aiomisc.Service):
-    """Serve an application from the start of the process to its stop.
+    """Serves an application from the start of the process to its stop.
 
-    The stop refuses new calls and lets those under way end.
+    On stop it refuses new calls and waits for those in flight.
     """
 
     __required__ = ('application', 'host', 'port')
@@ -33,5 +33,5 @@
         LOG.info('listening on %s:%d', self.host, port)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Wait for the calls under way and close."""
+        """Wait for the calls in flight and close."""
         await self.stack.aclose()
--- a/berylhollow/standin/instances.py
+++ b/berylhollow/standin/instances.py
@@ -1,4 +1,4 @@
-"""Model of the platform's instance list, which lags."""
+"""Model of the platform's instance list, which shows changes late."""
 
 import collections
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Change:
-    """A change that callers do not see yet; ``entry`` None removes."""
+    """A change not visible yet; an ``entry`` of None removes it."""
 
     visible_ms: int
     instance: str
@@ -19,7 +19,7 @@
 
 
 class InstanceListModel:
-    """Instances that become visible, change and vanish after a lag."""
+    """An instance list whose changes become visible after a lag."""
 
     def __init__(
         self,
@@ -38,13 +38,13 @@
         )
 
     def delete(self, instance: str, now_ms: int) -> None:
-        """Take an instance off the list; an unknown one is ignored."""
+        """Remove an instance; an unknown one is ignored."""
         self.changes.append(Change(now_ms + self.lag_ms, instance, None))
 
     def visible(self, now_ms: int) -> tuple[log_service.Instance, ...]:
-        """Return what the list shows, sorted by instance.
+        """Return the visible entries, sorted by instance.
 
-        While the list is frozen it shows what it showed last.
+        A frozen list returns its last visible entries.
         """
         if not self.faults.active(
             faults.PlatformFault.INSTANCES_FROZEN, now_ms
--- a/berylhollow/standin/log.py
+++ b/berylhollow/standin/log.py
@@ -14,10 +14,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class LogLimits:
-    """What the log takes and how long it keeps it.
+    """Append rate and retention time of the log.
 
-    Rate and burst hold over all streams together. ``slow_ms`` is what every
-    call waits while the log is slow.
+    Rate and burst apply to all streams together. ``slow_ms`` is the delay of
+    every call while the log is slow.
     """
 
     appends_per_s: float = 400
@@ -42,7 +42,7 @@
         return offset
 
     def retire(self, before_ms: int) -> None:
-        """Retire records older than the moment given."""
+        """Retire the records older than ``before_ms``."""
         while (
             self.retired < len(self.records)
             and self.records[self.retired].at_ms < before_ms
@@ -67,7 +67,7 @@
 
 
 class LogModel:
-    """Streams of records under one append rate, kept for a limited time."""
+    """Streams of records with a shared append rate and a retention time."""
 
     def __init__(
         self,
@@ -85,9 +85,9 @@
         """Append a record and return its offset.
 
         Raises ``Unavailable`` or ``RateLimited`` if nothing was appended and
-        ``AnswerLost`` if it was and the caller is not to learn of it.
+        ``AnswerLost`` if it was, but the response is to be lost.
         """
-        self.check_up(now_ms)
+        self.check_available(now_ms)
         if not self.bucket.take(now_ms):
             raise failures.RateLimited('too many appends')
         offset = self.retained(stream, now_ms).append(data, now_ms)
@@ -98,13 +98,13 @@
     def read(
         self, stream: str, from_offset: int, limit: int, now_ms: int
     ) -> log_service.ReadResult:
-        """Return up to ``limit`` records from an offset on.
+        """Return up to ``limit`` records from an offset onwards.
 
         An offset past the end gives no records. ``next_offset`` is the end
         of the stream, not of the part that was read. Raises ``Unavailable``,
         and ``OffsetGone`` for an offset that was retired.
         """
-        self.check_up(now_ms)
+        self.check_available(now_ms)
         kept = self.retained(stream, now_ms)
         if from_offset < kept.first_offset:
             raise failures.OffsetGone(kept.first_offset)
@@ -113,18 +113,18 @@
         )
 
     def delay_ms(self, now_ms: int) -> int:
-        """Return how long a call made now waits before it takes effect."""
+        """Return the delay before a call made now takes effect."""
         if self.faults.active(faults.PlatformFault.LOG_SLOW, now_ms):
             return self.limits.slow_ms
         return 0
 
-    def check_up(self, now_ms: int) -> None:
+    def check_available(self, now_ms: int) -> None:
         """Raise ``Unavailable`` during an outage."""
         if self.faults.active(faults.PlatformFault.LOG_DOWN, now_ms):
             raise failures.Unavailable('the log is down')
 
     def retained(self, stream: str, now_ms: int) -> Stream:
-        """Return the stream without what its retention has cut off."""
+        """Return the stream without the records past their retention."""
         kept = self.streams.setdefault(stream, Stream())
         kept.retire(now_ms - self.limits.retention_ms)
         return kept
--- a/berylhollow/standin/metadata_store.py
+++ b/berylhollow/standin/metadata_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' store: keyed records in one partition a topic."""
+"""A stand-in for the metadata store: keyed records, one log per topic."""
 
 import asyncio
 import base64
@@ -8,17 +8,17 @@
 
 from aiohttp import web
 
-LENGTH = struct.Struct('>I')
-BOUNDS = struct.Struct('>QQ')
+RECORD_LENGTH = struct.Struct('>I')
+END_AND_FIRST = struct.Struct('>QQ')
 MS_PER_SECOND = 1000
 UNAVAILABLE = 503
 GONE = 410
-ERA = 'Store-Era'
+ERA_HEADER = 'Store-Era'
 
 
 @dataclasses.dataclass
 class Topic:
-    """Records from ``first`` on, and the newest of each key."""
+    """Records from offset ``first`` on, and the newest of each key."""
 
     first: int = 0
     records: list[bytes] = dataclasses.field(default_factory=list)
@@ -31,7 +31,7 @@
         return self.first + len(self.records)
 
     def put(self, key: str, value: bytes) -> int:
-        """Append a keyed record; one without a value drops the key."""
+        """Append a keyed record; an empty value deletes the key."""
         offset = self.end
         name = key.encode()
         self.records.append(bytes([len(name)]) + name + value)
@@ -41,17 +41,17 @@
             self.newest.pop(key, None)
         return offset
 
-    def forget(self) -> None:
-        """Drop the history; the newest record of each key stays."""
+    def discard_history(self) -> None:
+        """Discard the history; the newest record of each key stays."""
         self.first = self.end
         self.records.clear()
 
 
 class MetadataStore:
-    """The calls of the store that the system makes, and its faults.
+    """The store's calls that the system uses, and its faults.
 
-    ``down`` refuses every call; ``silent`` leaves them without an answer.
-    ``era`` rises each time the store comes back from an older copy.
+    ``down`` refuses every call; ``silent`` leaves calls unanswered. ``era``
+    increases each time the store is restored from an older copy.
     """
 
     def __init__(self):
@@ -63,7 +63,7 @@
         self.calls = 0
 
     def topic(self, name: str) -> Topic:
-        """Return a topic, which is made on first use."""
+        """Return a topic, which is created on first use."""
         return self.topics.setdefault(name, Topic())
 
     async def put(self, topic: str, key: str, value: bytes) -> int:
@@ -74,11 +74,11 @@
         return offset
 
     def copy(self) -> dict[str, Topic]:
-        """Return a copy to come back from."""
+        """Return a copy of the topics for ``come_back``."""
         return copy.deepcopy(self.topics)
 
     async def come_back(self, older: dict[str, Topic]) -> None:
-        """Lose all that was acknowledged since a copy was made."""
+        """Restore a copy; records acknowledged since then are lost."""
         async with self.changed:
             self.topics = copy.deepcopy(older)
             self.era += 1
@@ -91,7 +91,7 @@
         router.add_get('/v1/log-read', self._read)
         router.add_post('/v1/log-append', self._append)
 
-    async def _check(self) -> None:
+    async def _check_available(self) -> None:
         self.calls += 1
         if self.down:
             raise web.HTTPServiceUnavailable
@@ -99,7 +99,7 @@
             await asyncio.sleep(0.01)
 
     async def _newest(self, request: web.Request) -> web.Response:
-        await self._check()
+        await self._check_available()
         topic = self.topic(request.query['Topic'])
         items = [
             {
@@ -115,10 +115,10 @@
         )
 
     def _headers(self) -> dict[str, str]:
-        return {ERA: str(self.era)}
+        return {ERA_HEADER: str(self.era)}
 
     async def _read(self, request: web.Request) -> web.Response:
-        await self._check()
+        await self._check_available()
         topic = self.topic(request.query['Topic'])
         offset = int(request.query['From'])
         wait_s = int(request.query.get('WaitMs', 0)) / MS_PER_SECOND
@@ -130,9 +130,9 @@
         await self._wait_for(topic, offset, wait_s)
         if era != self.era:
             raise web.HTTPServiceUnavailable
-        body = BOUNDS.pack(topic.end, topic.first)
+        body = END_AND_FIRST.pack(topic.end, topic.first)
         for record in topic.records[offset - topic.first :]:
-            body += LENGTH.pack(len(record)) + record
+            body += RECORD_LENGTH.pack(len(record)) + record
         return web.Response(body=body, headers=self._headers())
 
     async def _wait_for(
@@ -150,14 +150,16 @@
             return
 
     async def _append(self, request: web.Request) -> web.Response:
-        await self._check()
+        await self._check_available()
         body = await request.read()
         topic = self.topic(request.query['Topic'])
         offset = topic.end
         while body:
-            (length,) = LENGTH.unpack_from(body)
-            topic.records.append(body[LENGTH.size : LENGTH.size + length])
-            body = body[LENGTH.size + length :]
+            (length,) = RECORD_LENGTH.unpack_from(body)
+            topic.records.append(
+                body[RECORD_LENGTH.size : RECORD_LENGTH.size + length]
+            )
+            body = body[RECORD_LENGTH.size + length :]
         return web.json_response(
             {'Offset': offset, 'End': topic.end}, headers=self._headers()
         )
--- a/berylhollow/standin/platform_server.py
+++ b/berylhollow/standin/platform_server.py
@@ -16,13 +16,13 @@
 from berylhollow.standin import log
 from berylhollow.standin import weights
 
-LARGEST_READ = 10_000
-LONGEST_WAIT_MS = 60_000
-TAG_BYTES = 8
+MAX_READ_RECORDS = 10_000
+MAX_WAIT_MS = 60_000
+ETAG_BYTES = 8
 
 
 class LogRoutes:
-    """The log service."""
+    """Routes of the log service."""
 
     def __init__(self, model: log.LogModel):
         self.model = model
@@ -30,7 +30,7 @@
         self.stopping = False
 
     def add_to(self, application: web.Application) -> None:
-        application.on_shutdown.append(self.stop_waiting)
+        application.on_shutdown.append(self.end_waits)
         path = '/log/streams/{stream}/records'
         application.router.add_post(path, self.append)
         application.router.add_get(path, self.read)
@@ -42,30 +42,30 @@
         try:
             offset = self.model.append(stream, data, _http.wall_ms())
         finally:
-            self.wake(stream)
+            self.wake_readers(stream)
         return web.json_response({'offset': offset}, status=201)
 
     async def read(self, request: web.Request) -> web.Response:
         stream = request.match_info['stream']
         from_offset = int(request.query.get('from', '0'))
-        limit = min(int(request.query.get('limit', '1000')), LARGEST_READ)
-        wait_ms = min(int(request.query.get('wait_ms', '0')), LONGEST_WAIT_MS)
+        limit = min(int(request.query.get('limit', '1000')), MAX_READ_RECORDS)
+        wait_ms = min(int(request.query.get('wait_ms', '0')), MAX_WAIT_MS)
         await self.delay()
         result = self.model.read(stream, from_offset, limit, _http.wall_ms())
         if not result.records and wait_ms > 0 and not self.stopping:
-            await self.wait(stream, wait_ms)
+            await self.wait_for_append(stream, wait_ms)
             result = self.model.read(
                 stream, from_offset, limit, _http.wall_ms()
             )
-        return web.json_response(_page(result))
+        return web.json_response(_read_value(result))
 
     async def delay(self) -> None:
         delay_ms = self.model.delay_ms(_http.wall_ms())
         if delay_ms:
             await asyncio.sleep(delay_ms / _http.MS_PER_SECOND)
 
-    async def wait(self, stream: str, wait_ms: int) -> None:
-        """Wait until a record is appended to the stream."""
+    async def wait_for_append(self, stream: str, wait_ms: int) -> None:
+        """Wait until an append to the stream or the timeout."""
         event = self.appended.setdefault(stream, asyncio.Event())
         try:
             async with asyncio.timeout(wait_ms / _http.MS_PER_SECOND):
@@ -73,19 +73,19 @@
         except TimeoutError:
             return
 
-    async def stop_waiting(self, application: web.Application) -> None:
-        """Answer all reads that wait, so that the stop need not."""
+    async def end_waits(self, application: web.Application) -> None:
+        """End all waiting reads, so that shutdown does not wait for them."""
         self.stopping = True
         for stream in list(self.appended):
-            self.wake(stream)
+            self.wake_readers(stream)
 
-    def wake(self, stream: str) -> None:
+    def wake_readers(self, stream: str) -> None:
         event = self.appended.pop(stream, None)
         if event is not None:
             event.set()
 
 
-def _page(result: log_service.ReadResult) -> dict:
+def _read_value(result: log_service.ReadResult) -> dict:
     records = [
         {
             'offset': record.offset,
@@ -102,7 +102,7 @@
 
 
 class InstanceRoutes:
-    """The instance list."""
+    """Routes of the instance list."""
 
     def __init__(self, model: instances.InstanceListModel):
         self.model = model
@@ -117,7 +117,9 @@
         body = json.dumps(
             {'instances': [log_service.instance_value(x) for x in entries]}
         )
-        tag = hashlib.blake2b(body.encode(), digest_size=TAG_BYTES).hexdigest()
+        tag = hashlib.blake2b(
+            body.encode(), digest_size=ETAG_BYTES
+        ).hexdigest()
         headers = {'ETag': f'"{tag}"'}
         if request.headers.get('If-None-Match') == headers['ETag']:
             return web.Response(status=304, headers=headers)
@@ -135,13 +137,13 @@
 
 
 class WeightRoutes:
-    """The weight store."""
+    """Routes of the weight store."""
 
     def __init__(self, model: weights.WeightStoreModel):
         self.model = model
-        self.numbers = itertools.count()
+        self.load_numbers = itertools.count()
         self.waiting: dict[str, asyncio.Future] = {}
-        self.alarm = _http.Alarm(_http.wall_ms, self.advance)
+        self.timer = _http.Timer(_http.wall_ms, self.advance)
 
     def add_to(self, application: web.Application) -> None:
         application.router.add_get('/weights/{adapter}/{version}', self.load)
@@ -150,7 +152,7 @@
         adapter = messages.AdapterVersion(
             request.match_info['adapter'], request.match_info['version']
         )
-        load = str(next(self.numbers))
+        load = str(next(self.load_numbers))
         self.model.start(load, adapter, _http.wall_ms())
         done = asyncio.get_running_loop().create_future()
         self.waiting[load] = done
@@ -162,20 +164,20 @@
             self.model.cancel(load, _http.wall_ms())
             self.advance()
         if not loaded:
-            return _http.error_answer('load_failed', 503)
+            return _http.error_response('load_failed', 503)
         return web.Response(text=str(adapter))
 
     def advance(self) -> None:
-        """Answer the loads that have ended and wait for the next one."""
+        """Answer the loads that have ended and schedule the next call."""
         for ended in self.model.advance(_http.wall_ms()):
             done = self.waiting.get(ended.load)
             if done is not None and not done.done():
                 done.set_result(ended.loaded)
-        self.alarm.set(self.model.next_event_ms())
+        self.timer.set(self.model.next_event_ms())
 
 
 def make_application(settings) -> web.Application:
-    """Return the platform of a ``settings.PlatformSettings``."""
+    """Return the application for a ``settings.PlatformSettings``."""
     switches = faults.FaultSwitches()
     log_limits = log.LogLimits(
         appends_per_s=settings.log.appends_per_s,
--- a/berylhollow/standin/prefix_cache.py
+++ b/berylhollow/standin/prefix_cache.py
@@ -6,15 +6,15 @@
 from berylhollow import messages
 from berylhollow.standin import engine_types
 
-MOST_EVENTS = 1000
+MAX_EVENTS = 1000
 
 PrefixKey = tuple[messages.AdapterVersion, str]
 
 
 class PrefixCache:
-    """Prompt prefixes in limited memory, the least recently used go first.
+    """Prompt prefixes in limited memory, with LRU eviction.
 
-    Every ``gap_every``-th event is never published, the others late.
+    Every ``gap_every``-th event is never published; the others are late.
     """
 
     def __init__(self, capacity_tokens: int, lag_ms: int, gap_every: int):
@@ -27,11 +27,13 @@
         self.used_tokens = 0
         self.sequence = 0
         self.published: collections.deque[endpoint.CacheEvent] = (
-            collections.deque(maxlen=MOST_EVENTS)
+            collections.deque(maxlen=MAX_EVENTS)
         )
 
-    def use(self, request: engine_types.EngineRequest, now_ms: float) -> int:
-        """Return how many prompt tokens are cached; cache the prefix."""
+    def lookup_or_store(
+        self, request: engine_types.EngineRequest, now_ms: float
+    ) -> int:
+        """Return how many prompt tokens are cached; store a new prefix."""
         key = (request.adapter, request.prefix)
         if key in self.prefixes:
             self.prefixes.move_to_end(key)
@@ -69,7 +71,7 @@
     def events(
         self, after: int, now_ms: float
     ) -> tuple[endpoint.CacheEvent, ...]:
-        """Return the published events past a sequence number."""
+        """Return the published events after a sequence number."""
         return tuple(
             event
             for event in self.published
@@ -77,6 +79,6 @@
         )
 
     def clear(self) -> None:
-        """Forget everything, as a restart does, without an event."""
+        """Empty the cache without publishing events, as a restart does."""
         self.prefixes.clear()
         self.used_tokens = 0
--- a/berylhollow/standin/service_server.py
+++ b/berylhollow/standin/service_server.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP that echoes its calls and records its runs."""
+"""A plain HTTP service that echoes its calls and records them."""
 
 import asyncio
 import collections
@@ -12,7 +12,7 @@
 from berylhollow.standin import _http
 from berylhollow.standin import faults
 
-MOST_RUNS = 20_000
+MAX_CALLS = 20_000
 REQUEST_HEADER = 'X-Request-Id'
 KEY_HEADER = 'Idempotency-Key'
 SLOW_FACTOR = 10
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass
 class Call:
-    """The service's own record of a call that it began to run."""
+    """The service's record of a call that it began to run."""
 
     request: str
     key: str
@@ -48,7 +48,7 @@
         self.faults = faults.FaultSwitches()
         self.clock = clock.MonotonicClock()
         self.calls: collections.deque[Call] = collections.deque(
-            maxlen=MOST_RUNS
+            maxlen=MAX_CALLS
         )
 
     def add_to(self, application: web.Application) -> None:
@@ -62,7 +62,7 @@
         )
         router.add_route('*', '/{path:.*}', self.serve)
 
-    def faulty(self, fault: faults.ServiceFault) -> bool:
+    def has_fault(self, fault: faults.ServiceFault) -> bool:
         return self.faults.active(fault, self.clock.now_ms())
 
     async def runs(self, request: web.Request) -> web.Response:
@@ -71,14 +71,14 @@
         )
 
     async def serve(self, request: web.Request) -> web.Response:
-        """Run a call; what breaks it depends on the faults that are on."""
+        """Run a call under the active faults and echo it."""
         body = await request.read()
-        while self.faulty(faults.ServiceFault.HANG):
+        while self.has_fault(faults.ServiceFault.HANG):
             await asyncio.sleep(POLL_S)
-        if self.faulty(faults.ServiceFault.CRASH):
-            return _http.reset(request)
-        if self.faulty(faults.ServiceFault.RESET_BEFORE_RUN):
-            return _http.reset(request)
+        if self.has_fault(faults.ServiceFault.CRASH):
+            return _http.reset_connection(request)
+        if self.has_fault(faults.ServiceFault.RESET_BEFORE_RUN):
+            return _http.reset_connection(request)
         call = Call(
             request.headers.get(REQUEST_HEADER, ''),
             request.headers.get(KEY_HEADER, ''),
@@ -87,12 +87,12 @@
             hashlib.sha256(body).hexdigest(),
         )
         self.calls.append(call)
-        # A call that began runs to its end, also when its caller has gone.
-        await asyncio.shield(asyncio.ensure_future(self.work(call)))
+        # A call that began runs to its end even if its caller disconnects.
+        await asyncio.shield(asyncio.ensure_future(self.run_call(call)))
         if call.outcome == CallOutcome.BROKEN:
-            return _http.reset(request)
-        if self.faulty(faults.ServiceFault.RESET_AFTER_RUN):
-            return _http.reset(request)
+            return _http.reset_connection(request)
+        if self.has_fault(faults.ServiceFault.RESET_AFTER_RUN):
+            return _http.reset_connection(request)
         return web.json_response(
             {
                 'service_instance': self.instance,
@@ -104,17 +104,17 @@
             }
         )
 
-    async def work(self, call: Call) -> None:
+    async def run_call(self, call: Call) -> None:
         work_ms = self.work_ms
-        if self.faulty(faults.ServiceFault.SLOW):
+        if self.has_fault(faults.ServiceFault.SLOW):
             work_ms *= SLOW_FACTOR
         await asyncio.sleep(work_ms / _http.MS_PER_SECOND)
-        crashed = self.faulty(faults.ServiceFault.CRASH)
+        crashed = self.has_fault(faults.ServiceFault.CRASH)
         call.outcome = CallOutcome.BROKEN if crashed else CallOutcome.FINISHED
 
 
 def make_application(settings) -> web.Application:
-    """Return the service of a ``settings.ServiceSettings``."""
+    """Return the application for a ``settings.ServiceSettings``."""
     application = _http.make_application()
     ServiceServer(settings.instance, settings.work_ms).add_to(application)
     return application
--- a/berylhollow/standin/slots.py
+++ b/berylhollow/standin/slots.py
@@ -1,4 +1,4 @@
-"""The adapter slots of an engine model and the orders over them."""
+"""The adapter slots of an engine model and the orders for them."""
 
 import dataclasses
 
@@ -9,10 +9,10 @@
 
 
 class SlotTable:
-    """Slots of one life of an engine; a restart makes a new table.
+    """Slots of one engine epoch; a restart creates a new table.
 
-    The highest fencing number seen is forgotten with the table, so that
-    after a restart only the epoch in an order tells an old one.
+    The highest fencing number seen is lost with the table, so that after a
+    restart only the epoch of an order shows that it is old.
     """
 
     def __init__(self, epoch: str, limits: engine_types.EngineLimits):
@@ -23,8 +23,8 @@
         self.slots = [endpoint.Slot(slot) for slot in range(limits.slot_count)]
 
     def begin_load(self, order: endpoint.SlotOrder) -> None:
-        """Put a slot into loading; raises as ``check`` does."""
-        self.check(order)
+        """Start loading into a slot; raises as ``check_order`` does."""
+        self.check_order(order)
         self.orders[order.order] = order
         self.slots[order.slot] = endpoint.Slot(
             order.slot, order.adapter, endpoint.SlotState.LOADING
@@ -33,8 +33,8 @@
     def finish_load(self, order_id: str, loaded: bool) -> bool:
         """End a load; return whether its adapter is now ready.
 
-        False too if a later order took the slot or the order is unknown, as
-        one given to an earlier life is.
+        Also False if a later order took the slot or the order is unknown,
+        such as one from before a restart.
         """
         order = self.orders.pop(order_id, None)
         if order is None:
@@ -53,11 +53,11 @@
         return True
 
     def unload(self, order: endpoint.SlotOrder) -> None:
-        """Empty a slot; raises as ``check`` does."""
-        self.check(order)
+        """Empty a slot; raises as ``check_order`` does."""
+        self.check_order(order)
         self.slots[order.slot] = endpoint.Slot(order.slot)
 
-    def check(self, order: endpoint.SlotOrder) -> None:
+    def check_order(self, order: endpoint.SlotOrder) -> None:
         """Raise ``WrongEpoch``, ``StaleFence`` or ``UnknownSlot``."""
         if order.epoch != self.epoch:
             raise failures.WrongEpoch(f'this is {self.epoch}')
@@ -68,15 +68,15 @@
         self.highest_fence = max(self.highest_fence, order.fence)
 
     def ready_slot(self, adapter: messages.AdapterVersion) -> int:
-        """Return a slot that is ready with it, or ``AdapterNotLoaded``."""
+        """Return a ready slot, or raise ``AdapterNotLoaded``."""
         for slot in self.slots:
             ready = slot.state == endpoint.SlotState.READY
             if ready and slot.adapter == adapter:
                 return slot.slot
         raise failures.AdapterNotLoaded(str(adapter))
 
-    def holds(self, slot: int) -> messages.AdapterVersion:
-        """Return what serves the slot's requests; the base model if empty."""
+    def serving_adapter(self, slot: int) -> messages.AdapterVersion:
+        """Return the slot's adapter, or the base model if it is empty."""
         adapter = self.slots[slot].adapter
         if adapter is None:
             return messages.AdapterVersion(
--- a/berylhollow/standin/weight_client.py
+++ b/berylhollow/standin/weight_client.py
@@ -9,7 +9,7 @@
 
 
 class WeightClient:
-    """Fetch weights from the platform at ``url``."""
+    """Fetches weights from the platform at ``url``."""
 
     def __init__(self, url: str):
         self.url = url.rstrip('/')
@@ -18,7 +18,7 @@
     async def load(self, adapter: messages.AdapterVersion) -> None:
         """Fetch the weights of an adapter version.
 
-        Raises the kinds of ``outgoing.CallError``.
+        Raises ``outgoing.CallError`` or a subclass.
         """
         name = urllib.parse.quote(adapter.adapter, safe='')
         version = urllib.parse.quote(adapter.version, safe='')
--- a/berylhollow/standin/weights.py
+++ b/berylhollow/standin/weights.py
@@ -1,12 +1,12 @@
 """Model of the platform's rate-limited weight store.
 
-A load is ``full_speed_ms`` of work. Alone it does one millisecond of work a
-millisecond. With n loads at once each progresses at
+A load takes ``full_speed_ms`` of work. A load alone does one millisecond of
+work per millisecond; with n loads at once, each progresses at
 
     1 / (n * (1 + contention * (n - 1)))
 
-so that together they do less than one alone: with the default contention of
-0.1, two loads of 400 ms begun together both end after 880 ms, where one
+so that together they progress less than one alone: with the default contention
+of 0.1, two loads of 400 ms begun together both end after 880 ms, where one
 after the other they would end after 400 and 800 ms. A hung load makes no
 progress but still counts in n.
 """
@@ -20,12 +20,13 @@
 from berylhollow.util import token_bucket
 
 MISSING_PREFIX = 'missing'
-SMALLEST_WORK_MS = 0.001
+# Absorbs floating-point rounding: a load with less work left has ended.
+MIN_WORK_MS = 0.001
 
 
 @dataclasses.dataclass(frozen=True)
 class WeightLimits:
-    """Loads admitted a second, their length, and the slowness fault."""
+    """Rate and duration of loads, and their slowdown under a fault."""
 
     loads_per_s: float = 2
     burst: int = 2
@@ -46,7 +47,7 @@
 
 @dataclasses.dataclass
 class Load:
-    """A load under way and the work that it still has to do."""
+    """A load in progress and its remaining work."""
 
     load: str
     adapter: messages.AdapterVersion
@@ -55,7 +56,7 @@
 
 
 class WeightStoreModel:
-    """Loads that share one full-speed channel."""
+    """A weight store whose loads share its bandwidth."""
 
     def __init__(
         self,
@@ -68,16 +69,16 @@
             self.limits.loads_per_s, self.limits.burst
         )
         self.loads: dict[str, Load] = {}
-        self.reached_ms: float = 0
+        self.simulated_until_ms: float = 0
         self.done: list[LoadDone] = []
 
     def start(
         self, load: str, adapter: messages.AdapterVersion, now_ms: float
     ) -> None:
-        """Begin a load; its end comes out of ``advance``.
+        """Begin a load; ``advance`` returns it when it has ended.
 
-        Raises ``Unavailable``, ``RateLimited`` or ``UnknownAdapter``; then
-        nothing has begun.
+        Raises ``Unavailable``, ``RateLimited`` or ``UnknownAdapter``, without
+        starting a load.
         """
         self.run_until(now_ms)
         if self.faults.active(faults.PlatformFault.WEIGHTS_DOWN, now_ms):
@@ -90,7 +91,7 @@
         self.loads[load] = Load(load, adapter, self.limits.full_speed_ms, hung)
 
     def cancel(self, load: str, now_ms: float) -> bool:
-        """Give a load up; return whether it was under way."""
+        """Cancel a load; return whether it was in progress."""
         self.run_until(now_ms)
         return self.loads.pop(load, None) is not None
 
@@ -102,64 +103,67 @@
         return ended
 
     def next_event_ms(self) -> float:
-        """Return when the next load ends, or a fault that changes that.
+        """Return when the next load or the next fault ends.
 
-        Infinity if nothing is under way or all that is hangs for ever.
+        Infinity without loads, or if all loads hang forever.
         """
         if not self.loads:
             return math.inf
         return min(
-            self.next_end_ms(), self.faults.next_end_ms(self.reached_ms)
+            self.next_end_ms(),
+            self.faults.next_end_ms(self.simulated_until_ms),
         )
 
     def run_until(self, now_ms: float) -> None:
-        """Carry the work of all loads forward to the moment given."""
-        while self.reached_ms < now_ms:
+        """Advance the work of all loads to ``now_ms``."""
+        while self.simulated_until_ms < now_ms:
             step_ms = min(now_ms, self.next_event_ms())
-            self.work(step_ms)
-            self.reached_ms = step_ms
-            self.collect()
+            self.apply_work(step_ms)
+            self.simulated_until_ms = step_ms
+            self.collect_ended()
 
-    def work(self, until_ms: float) -> None:
-        worked_ms = (until_ms - self.reached_ms) * self.speed()
+    def apply_work(self, until_ms: float) -> None:
+        worked_ms = (until_ms - self.simulated_until_ms) * self.speed()
         for load in self.loads.values():
-            if not self.hangs(load):
+            if not self.is_hung(load):
                 load.work_ms -= worked_ms
 
-    def collect(self) -> None:
+    def collect_ended(self) -> None:
         for load in list(self.loads.values()):
-            if load.work_ms < SMALLEST_WORK_MS:
+            if load.work_ms < MIN_WORK_MS:
                 del self.loads[load.load]
                 self.done.append(self.outcome(load))
 
     def outcome(self, load: Load) -> LoadDone:
         failed = self.faults.active(
-            faults.PlatformFault.LOAD_FAILS, self.reached_ms
+            faults.PlatformFault.LOAD_FAILS, self.simulated_until_ms
+        )
+        return LoadDone(
+            load.load, load.adapter, self.simulated_until_ms, not failed
         )
-        return LoadDone(load.load, load.adapter, self.reached_ms, not failed)
 
-    def hangs(self, load: Load) -> bool:
+    def is_hung(self, load: Load) -> bool:
         return load.hung and self.faults.active(
-            faults.PlatformFault.LOAD_HANGS, self.reached_ms
+            faults.PlatformFault.LOAD_HANGS, self.simulated_until_ms
         )
 
     def speed(self) -> float:
-        """Return the work that each load does in a millisecond."""
+        """Return the work that each load does per millisecond."""
         if self.faults.active(
-            faults.PlatformFault.WEIGHTS_DOWN, self.reached_ms
+            faults.PlatformFault.WEIGHTS_DOWN, self.simulated_until_ms
         ):
             return 0
         count = max(1, len(self.loads))
         speed = 1 / (count * (1 + self.limits.contention * (count - 1)))
         if self.faults.active(
-            faults.PlatformFault.WEIGHTS_SLOW, self.reached_ms
+            faults.PlatformFault.WEIGHTS_SLOW, self.simulated_until_ms
         ):
             speed /= self.limits.slow_factor
         return speed
 
     def next_end_ms(self) -> float:
         speed = self.speed()
-        left = [x.work_ms for x in self.loads.values() if not self.hangs(x)]
+        left = [x.work_ms for x in self.loads.values() if not self.is_hung(x)]
         if not left or not speed:
             return math.inf
-        return self.reached_ms + min(left) / speed
+        return self.simulated_until_ms + min(left) / speed
--- a/test/standin/test_engine.py
+++ b/test/standin/test_engine.py
@@ -67,7 +67,7 @@
         model = engine.EngineModel('e', LIMITS)
         model.begin_load(order(model), 0)
         self.assertFalse(model.finish_load('o', False, 1))
-        self.assertEqual(model.present_status().slots[0], endpoint.Slot(0))
+        self.assertEqual(model.current_status().slots[0], endpoint.Slot(0))
 
     def test_later_order_takes_the_slot(self):
         model = engine.EngineModel('e', LIMITS)
@@ -87,10 +87,10 @@
             model.begin_load(before, 1)
 
     def test_load_over_a_running_request_shows_in_its_record(self):
-        """A sidecar evicts an adapter that a request is using.
+        """A sidecar replaces an adapter that a running request uses.
 
-        The caller sees its answer change to another adapter half-way: the
-        model does as it is told, and its record of runs says so.
+        The caller's response switches to another adapter half-way. The
+        model must allow this and its record of runs must show it.
         """
         model = make_engine(A)
         model.submit(request('r', output_tokens=3), 0)
@@ -151,8 +151,8 @@
     def test_marked_request_crashes_all_that_run_with_it(self):
         """One request crashes each engine that runs it.
 
-        Its neighbour in the batch and the one waiting break with it, the
-        engine is down for a while and comes back with nothing loaded.
+        The other requests, running and waiting, break with it. The engine
+        is down for its restart time and comes back with empty slots.
         """
         model = make_engine(A)
         epoch = model.epoch
