--- a/test/standin/test_servers.py
+++ b/test/standin/test_servers.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-ins over HTTP, through the clients of our processes."""
+"""Tests of the HTTP stand-ins through the project's own clients."""
 
 import asyncio
 import dataclasses
@@ -66,10 +66,10 @@
         self.assertEqual((await reading).records[0].data, b'late')
 
     async def test_lost_answer_is_maybe_done_and_was_done(self):
-        """An operator's change is published twice.
+        """A lost response must not be taken for a failed append.
 
-        The log keeps the record and its answer is lost; whoever takes that
-        for a failure appends again.
+        The log keeps the record but its response is lost. A caller that
+        retries publishes an operator's change twice.
         """
         await self.fault(self.url, 'append_answer_lost')
         with self.assertRaises(outgoing.MaybeDone):
@@ -104,10 +104,11 @@
         self.assertEqual(await client.list(), ())
 
     async def test_unchanged_instance_list_is_not_sent_again(self):
-        """A hundred rows a second cost a gateway more than all its control.
+        """Rereading an unchanged list must not transfer it again.
 
-        The second read names the version of the first and is answered with
-        that alone; a change is seen all the same.
+        A hundred rows a second cost a gateway more than the rest of its
+        control work. The second read sends the ETag of the first and gets
+        a 304; a change is still seen.
         """
         client = self.closing(log_service.InstanceClient(self.url))
         entry = log_service.Instance(
@@ -198,10 +199,10 @@
         self.assertEqual(slot.state, endpoint.SlotState.READY)
 
     async def test_crash_breaks_streams_and_empties_slots(self):
-        """A receptionist's summary stops half-way.
+        """An engine crash must not look like the end of a stream.
 
-        The engine crashes during the stream; its end must be an error and
-        not look like the end of the answer.
+        Otherwise a client would take a truncated response for a complete
+        one. The stream must end with an error.
         """
         await self.load()
         answer = await self.requests.open(
--- a/test/standin_helper.py
+++ b/test/standin_helper.py
@@ -1,4 +1,4 @@
-"""Serve stand-ins on free ports inside a test."""
+"""Settings and a test case for serving stand-ins on free ports."""
 
 import contextlib
 import unittest
@@ -18,7 +18,7 @@
 
 
 def platform_settings(**sections) -> settings.PlatformSettings:
-    """Return settings of a platform that is fast unless a test says else."""
+    """Return settings of a platform that is fast by default."""
     values = {
         'instance': 'platform',
         'log': {'appends_per_s': 1000},
@@ -47,7 +47,7 @@
 
 
 def service_settings(**options) -> settings.ServiceSettings:
-    """Return settings of a plain service that works in no time."""
+    """Return settings of a plain service that takes no time per call."""
     values = {'instance': 'service-1', 'work_ms': 0}
     return settings.parse(
         {**COMMON, **values, **options}, settings.Role.SERVICE
@@ -55,13 +55,13 @@
 
 
 def adapter(name: str) -> messages.AdapterVersion:
-    """Return the adapter version written ``adapter@version``."""
+    """Parse an ``adapter@version`` string."""
     left, _, right = name.rpartition('@')
     return messages.AdapterVersion(left, right)
 
 
 class StandInTestCase(unittest.IsolatedAsyncioTestCase):
-    """Stops what a test served and opened, last first."""
+    """Closes a test's servers and clients, in reverse order."""
 
     async def asyncSetUp(self):
         self.stack = contextlib.AsyncExitStack()
