--- a/berylhollow/standin/engine.py
+++ b/berylhollow/standin/engine.py
@@ -1,9 +1,9 @@
 """Model of a model engine with a few adapter slots.
 
-It obeys every order, even a harmful one: after a load into a slot with running
-requests, their tokens come from the new adapter. Real engines differ; the
-model does so to make a caller's mistakes visible in the responses and in
-``runs``.
+It obeys every order, even a harmful one: from the moment a load is ordered
+into a slot with running requests, their tokens come from the new adapter.
+Real engines differ; the model does so to make a caller's mistakes visible in
+the responses and in ``runs``.
 """
 
 import collections
--- a/berylhollow/standin/failures.py
+++ b/berylhollow/standin/failures.py
@@ -48,7 +48,7 @@
 
 
 class WrongEpoch(StandInError):
-    """The order is for another epoch of the engine."""
+    """The order or request is for another epoch of the engine."""
 
     code = 'wrong_epoch'
 
--- a/berylhollow/standin/instances.py
+++ b/berylhollow/standin/instances.py
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Change:
-    """A change not visible yet; an ``entry`` of None removes it."""
+    """A change not visible yet; ``entry`` None removes the instance."""
 
     visible_ms: int
     instance: str
--- a/berylhollow/standin/weights.py
+++ b/berylhollow/standin/weights.py
@@ -20,7 +20,8 @@
 from berylhollow.util import token_bucket
 
 MISSING_PREFIX = 'missing'
-# Absorbs floating-point rounding: a load with less work left has ended.
+# A load with less work left has ended. Without the margin, a remainder left
+# by floating-point rounding keeps ``run_until`` from reaching its end.
 MIN_WORK_MS = 0.001
 
 
@@ -103,7 +104,7 @@
         return ended
 
     def next_event_ms(self) -> float:
-        """Return when the next load or the next fault ends.
+        """Return when the next load ends, or a fault that may change that.
 
         Infinity without loads, or if all loads hang forever.
         """
