--- a/berylhollow/gateway/_direct_runs.py
+++ b/berylhollow/gateway/_direct_runs.py
@@ -212,7 +212,7 @@
     async def _relay_body(self, answer: platform.Answer) -> None:
         try:
             async for part in answer.parts():
-                while self.sender.paused:
+                while self.sender.is_paused:
                     self.sender_unblocked.clear()
                     await self.sender_unblocked.wait()
                 self._report(self.sender.push(part))
--- a/berylhollow/gateway/_relay.py
+++ b/berylhollow/gateway/_relay.py
@@ -113,8 +113,8 @@
 
     def acknowledge(self, frames: int) -> None:
         """Count ``frames`` as taken; send an acknowledgement if one is due."""
-        self.receiver.consumed(frames)
-        acknowledgement = self.receiver.acknowledgement()
+        self.receiver.mark_consumed(frames)
+        acknowledgement = self.receiver.due_acknowledgement()
         if acknowledgement is not None:
             self.send(self.begin.peer, acknowledgement)
 
--- a/berylhollow/link/_client.py
+++ b/berylhollow/link/_client.py
@@ -40,7 +40,7 @@
         self.key = key
         self.identity = identity
         self.options = options or _link.Options()
-        codec = codec or _codec.shared()
+        codec = codec or _codec.shared_codec()
         flusher = flusher or _flusher.Flusher(self.options.flush_delay_ms)
         self.link = _link.Link(
             (host, port), codec, handler, self.options, flusher
--- a/berylhollow/link/_codec.py
+++ b/berylhollow/link/_codec.py
@@ -32,7 +32,7 @@
 _LIST_END = b'\xff'
 
 LIST_OVERHEAD_BYTES = len(_LIST_START) + len(_LIST_END)
-"""Bytes that ``join`` adds to the encoded values."""
+"""Bytes that ``encode_list`` adds to the encoded values."""
 
 
 class CodecError(Exception):
@@ -138,12 +138,12 @@
 
 
 @functools.cache
-def shared() -> Codec:
+def shared_codec() -> Codec:
     """Return the codec of all declared messages that the process shares."""
     return Codec(messages.TAGS)
 
 
-def join(parts: collections.abc.Iterable[bytes]) -> bytes:
+def encode_list(parts: collections.abc.Iterable[bytes]) -> bytes:
     """Return a CBOR list of values that are already encoded."""
     return b''.join((_LIST_START, *parts, _LIST_END))
 
--- a/berylhollow/link/_handshake.py
+++ b/berylhollow/link/_handshake.py
@@ -195,7 +195,7 @@
 
 def pack(message) -> bytes:
     """Return the wire form of a handshake message."""
-    return _codec.join([CODEC.encode(message)])
+    return _codec.encode_list([CODEC.encode(message)])
 
 
 def unpack(data: bytes, cls: type):
--- a/berylhollow/link/_link.py
+++ b/berylhollow/link/_link.py
@@ -79,7 +79,7 @@
     """One end of a connection.
 
     ``peer`` identifies the other end and is None until it has
-    authenticated; ``address`` is its network address. ``up`` tells whether
+    authenticated; ``address`` is its network address. ``is_up`` tells whether
     the link has authenticated and not failed; ``reason`` is set once it is
     closing. ``sent_messages``, ``sent_frames``, ``received_messages`` and
     ``received_frames`` are counters.
@@ -98,7 +98,7 @@
         self.handler = handler
         self.options = options
         self.peer: _handshake.Identity | None = None
-        self.up = False
+        self.is_up = False
         self.reason: _reason.Reason | None = None
         self.queued_bytes = 0
         self.sent_messages = 0
@@ -120,7 +120,7 @@
         self._close_requested: asyncio.Future | None = None
 
     @property
-    def congested(self) -> bool:
+    def is_congested(self) -> bool:
         """Whether more than ``congested_bytes`` are queued."""
         return self.queued_bytes > self.options.congested_bytes
 
@@ -130,7 +130,7 @@
         Raises ValueError for a message that is larger than the peer
         accepts, and TypeError for one whose class has no tag.
         """
-        if not self.up or self.reason is not None:
+        if not self.is_up or self.reason is not None:
             return False
         part = self.codec.encode(message)
         if len(part) > self._maximum_message_bytes:
@@ -207,14 +207,14 @@
         """
         if self.reason is None:
             self.reason = reason
-        self.up = False
+        self.is_up = False
         self._queued_parts.clear()
         self.queued_bytes = 0
         self._call_handler(self.handler.link_down, self, self.reason)
 
     def frame_received(self, data: bytes) -> None:
         """Process a frame from the connection."""
-        if self.up:
+        if self.is_up:
             self._receive(data)
         elif self._handshake is not None and self.reason is None:
             self._authenticate(data)
@@ -229,7 +229,7 @@
 
     def connection_closed(self) -> None:
         """Close the link after its connection was closed."""
-        self.up = False
+        self.is_up = False
         self.close(_reason.from_connection_closed(self._connection.close_exc))
 
     def _authenticate(self, data: bytes):
@@ -254,7 +254,7 @@
         self._handshake = None
         self._cancel_handshake_timer()
         self.peer = peer
-        self.up = True
+        self.is_up = True
         self._call_handler(self.handler.link_up, self)
 
     def _receive(self, data: bytes):
@@ -267,7 +267,7 @@
         self.received_frames += 1
         self.received_messages += len(messages)
         for message in messages:
-            if self.up:
+            if self.is_up:
                 self._call_handler(self.handler.message, self, message)
 
     def _call_handler(self, callback, *arguments):
@@ -281,7 +281,7 @@
 
     def _fail(self, reason: _reason.Reason):
         """Close the link and ignore further frames from the peer."""
-        self.up = False
+        self.is_up = False
         self.close(reason)
 
     def _cancel_handshake_timer(self):
@@ -293,8 +293,8 @@
         """Remove queued messages and return them as one frame."""
         self.sent_frames += 1
         if self.queued_bytes > self._maximum_frame_bytes:
-            return _codec.join(self._next_parts())
-        data = _codec.join(self._queued_parts)
+            return _codec.encode_list(self._next_parts())
+        data = _codec.encode_list(self._queued_parts)
         self._queued_parts.clear()
         self.queued_bytes = 0
         return data
--- a/berylhollow/link/_server.py
+++ b/berylhollow/link/_server.py
@@ -37,7 +37,7 @@
         self.key = key
         self.identity = identity
         self.handler = handler
-        self.codec = codec or _codec.shared()
+        self.codec = codec or _codec.shared_codec()
         self.options = options or _link.Options()
         self.flusher = _flusher.Flusher(self.options.flush_delay_ms)
         self.links: set[_link.Link] = set()
--- a/berylhollow/replay/_gateway.py
+++ b/berylhollow/replay/_gateway.py
@@ -188,11 +188,11 @@
             self.world.record.note(
                 _facts.Relayed(self.world.now_ms, exchange, len(payload))
             )
-        relay.receiver.consumed()
+        relay.receiver.mark_consumed()
         self.acknowledge(relay)
 
     def acknowledge(self, relay: Relay) -> None:
-        due = relay.receiver.acknowledgement()
+        due = relay.receiver.due_acknowledgement()
         if due is not None:
             self.send_message(
                 relay.begin.peer,
--- a/berylhollow/replay/_sidecar.py
+++ b/berylhollow/replay/_sidecar.py
@@ -148,7 +148,7 @@
 
     def pump(self, run: Run) -> None:
         sender = run.sender
-        while run.backlog and not sender.paused:
+        while run.backlog and not sender.is_paused:
             self.send_data(run, sender.push(run.backlog.popleft()))
         if run.whole and not run.backlog and not sender.finished:
             count = sender.next_sequence
--- a/berylhollow/sidecar/_gateway_links.py
+++ b/berylhollow/sidecar/_gateway_links.py
@@ -51,7 +51,7 @@
         If it has, ``on_writable`` is called once it takes more.
         """
         link = self.by_peer.get(peer)
-        if link is None or not link.congested:
+        if link is None or not link.is_congested:
             return False
         if peer not in self.congested_peers:
             self.congested_peers.add(peer)
--- a/berylhollow/sidecar/_run_calls.py
+++ b/berylhollow/sidecar/_run_calls.py
@@ -112,7 +112,7 @@
         except stream.StreamError as error:
             LOG.warning('%s', error)
             return
-        if run.sender.released:
+        if run.sender.is_fully_acknowledged:
             del self.runs[run.attempt_id]
         run.room.set()
 
@@ -263,7 +263,7 @@
         async for chunk in answer.chunks():
             end.add(chunk)
             run.body_bytes += len(chunk)
-            while run.sender.paused or self.outbox.congested(run.peer):
+            while run.sender.is_paused or self.outbox.congested(run.peer):
                 run.room.clear()
                 await run.room.wait()
             frame = run.sender.push(chunk)
--- a/berylhollow/stream.py
+++ b/berylhollow/stream.py
@@ -48,7 +48,7 @@
 class StreamSender:
     """Number the frames of one attempt and store them until acknowledged.
 
-    It stores at most ``limit_bytes`` plus one payload. While ``paused`` the
+    It stores at most ``limit_bytes`` plus one payload. While ``is_paused`` the
     owner must stop reading from the endpoint.
     """
 
@@ -60,24 +60,24 @@
         self.stored: collections.deque[messages.Data | messages.End] = (
             collections.deque()
         )
-        self.kept_bytes = 0
+        self.stored_bytes = 0
         self.first_stored = 0
         self.next_sequence = 0
         self.finished = False
 
     @property
-    def paused(self) -> bool:
+    def is_paused(self) -> bool:
         """Whether the owner must wait for an acknowledgement."""
-        return self.kept_bytes >= self.limit_bytes
+        return self.stored_bytes >= self.limit_bytes
 
     @property
-    def released(self) -> bool:
+    def is_fully_acknowledged(self) -> bool:
         """Whether all frames including the end were acknowledged."""
         return self.finished and not self.stored
 
     def push(self, payload: bytes) -> messages.Data:
         """Return the next frame. Raises PausedError while paused."""
-        if self.paused:
+        if self.is_paused:
             raise PausedError(f'{self.attempt_id}: push while paused')
         frame = messages.Data(self.attempt_id, self.next_sequence, payload)
         self._store(frame, FRAME_OVERHEAD_BYTES + len(payload))
@@ -100,7 +100,7 @@
                 f'{self.attempt_id}: acknowledged a frame that was not sent'
             )
         while self.first_stored < next_sequence:
-            self.kept_bytes -= _counted_bytes(self.stored.popleft())
+            self.stored_bytes -= _counted_bytes(self.stored.popleft())
             self.first_stored += 1
 
     def resume(self, next_sequence: int) -> list[messages.Data | messages.End]:
@@ -121,7 +121,7 @@
         if self.finished:
             raise StreamError(f'{self.attempt_id}: already finished')
         self.stored.append(frame)
-        self.kept_bytes += size
+        self.stored_bytes += size
         self.next_sequence += 1
 
 
@@ -155,7 +155,7 @@
             self.late += 1
             return None
         if isinstance(frame, messages.End):
-            self._end(frame)
+            self._accept_end(frame)
             return None
         if frame.sequence > self.next_sequence:
             raise self._missing_frames_error(frame.sequence)
@@ -168,13 +168,13 @@
         self.unconsumed_sizes.append(len(frame.payload))
         return frame.payload
 
-    def consumed(self, frames: int = 1) -> None:
+    def mark_consumed(self, frames: int = 1) -> None:
         """Record that the caller consumed the next ``frames`` payloads."""
         for _ in range(frames):
             self.consumed_bytes += self.unconsumed_sizes.popleft()
             self.consumed_frames += 1
 
-    def acknowledgement(self) -> messages.Acknowledge | None:
+    def due_acknowledgement(self) -> messages.Acknowledge | None:
         """Return an acknowledgement if one is due.
 
         It covers what the caller consumed, not what arrived, so that a slow
@@ -208,7 +208,7 @@
             self.attempt_id, self.next_sequence + self.complete
         )
 
-    def _end(self, frame: messages.End) -> None:
+    def _accept_end(self, frame: messages.End) -> None:
         if frame.count > self.next_sequence:
             raise self._missing_frames_error(frame.count)
         if frame.count < self.next_sequence:
--- a/test/test_link.py
+++ b/test/test_link.py
@@ -156,7 +156,7 @@
         with self.assertLogs('berylhollow.link._link', 'ERROR'):
             await self.client.wait()
         self.assertEqual([Reason.HANDLER], self.client_handler.downs)
-        self.assertTrue((await self.start_client()).up)
+        self.assertTrue((await self.start_client()).is_up)
 
     async def test_stalled_peer_does_not_grow_memory(self):
         """A peer stops reading while answers for it are still queued.
@@ -173,7 +173,7 @@
         link = self.server_handler.ups[0]
         congested = 0
         while link.send(build.note(1, bytes(50_000))):
-            congested += link.congested
+            congested += link.is_congested
             self.assertLessEqual(link.queued_bytes, 400_000)
             await asyncio.sleep(0)
         self.assertGreater(congested, 0)
--- a/test/test_link_codec.py
+++ b/test/test_link_codec.py
@@ -36,7 +36,7 @@
             build.Drawing(DRAWING.colour, ()),
         ]
         parts = [self.codec.encode(message) for message in sent]
-        self.assertEqual(sent, self.codec.decode(_codec.join(parts)))
+        self.assertEqual(sent, self.codec.decode(_codec.encode_list(parts)))
 
     def test_array_is_tag_and_fields_in_order(self):
         data = self.codec.encode(build.note(5, b'x'))
--- a/test/test_sidecar_runs.py
+++ b/test/test_sidecar_runs.py
@@ -83,8 +83,8 @@
         self.start()
         await self.wait_until(lambda: self.calls.runs)
         sender = self.calls.runs['r1.1'].sender
-        await self.wait_until(lambda: sender.paused)
-        held = sender.kept_bytes
+        await self.wait_until(lambda: sender.is_paused)
+        held = sender.stored_bytes
         self.assertLess(
             held, 2 * _run_calls.MAX_UNACKNOWLEDGED_BYTES + 256 * 1024
         )
--- a/test/test_stream.py
+++ b/test/test_stream.py
@@ -20,13 +20,13 @@
     def test_unacknowledged_frames_are_bounded(self):
         for payload in (b'', bytes(1000)):
             sender, _ = sender_and_frames()
-            while not sender.paused:
+            while not sender.is_paused:
                 sender.push(payload)
             with self.assertRaises(stream.PausedError):
                 sender.push(payload)
-            self.assertLess(sender.kept_bytes, LIMIT + 1100)
+            self.assertLess(sender.stored_bytes, LIMIT + 1100)
             sender.acknowledge(1)
-            self.assertFalse(sender.paused)
+            self.assertFalse(sender.is_paused)
 
     def test_resume_before_what_is_kept_or_beyond_what_was_sent(self):
         sender, frames = sender_and_frames([b'a', b'b', b'c'])
@@ -47,7 +47,7 @@
             sender.push(b'b')
         self.assertEqual([end], sender.resume(1))
         sender.acknowledge(2)
-        self.assertTrue(sender.released)
+        self.assertTrue(sender.is_fully_acknowledged)
 
 
 class ReceiverTest(unittest.TestCase):
@@ -102,11 +102,11 @@
         sender, _ = sender_and_frames()
         for _ in range(stream.ACKNOWLEDGE_FRAMES):
             self.receiver.accept(sender.push(b'x'))
-        self.assertIsNone(self.receiver.acknowledgement())
-        self.receiver.consumed(stream.ACKNOWLEDGE_FRAMES)
-        due = self.receiver.acknowledgement()
+        self.assertIsNone(self.receiver.due_acknowledgement())
+        self.receiver.mark_consumed(stream.ACKNOWLEDGE_FRAMES)
+        due = self.receiver.due_acknowledgement()
         self.assertEqual(stream.ACKNOWLEDGE_FRAMES, due.next_sequence)
-        self.assertIsNone(self.receiver.acknowledgement())
+        self.assertIsNone(self.receiver.due_acknowledgement())
 
     def test_lost_acknowledgement_does_not_hold_up_the_stream(self):
         """An acknowledgement is lost with its link.
@@ -115,14 +115,14 @@
         more frames: without a second acknowledgement the answer hangs.
         """
         sender, _ = sender_and_frames()
-        while not sender.paused:
+        while not sender.is_paused:
             self.receiver.accept(sender.push(bytes(1000)))
-            self.receiver.consumed()
-        self.assertIsNotNone(self.receiver.acknowledgement())
+            self.receiver.mark_consumed()
+        self.assertIsNotNone(self.receiver.due_acknowledgement())
         self.receiver.resume()
-        again = self.receiver.acknowledgement()
+        again = self.receiver.due_acknowledgement()
         sender.acknowledge(again.next_sequence)
-        self.assertFalse(sender.paused)
+        self.assertFalse(sender.is_paused)
 
 
 class Exchange:
@@ -141,7 +141,7 @@
         self.received = []
 
     def send(self):
-        if self.sender.paused or self.sender.finished:
+        if self.sender.is_paused or self.sender.finished:
             return
         if self.unsent:
             self.new_link.append(self.sender.push(self.unsent.pop(0)))
@@ -158,10 +158,10 @@
             return
         if payload is not None:
             self.received.append(payload)
-            self.receiver.consumed()
+            self.receiver.mark_consumed()
 
     def acknowledge(self, arrives=True):
-        message = self.receiver.acknowledgement()
+        message = self.receiver.due_acknowledgement()
         if message is not None and arrives:
             self.sender.acknowledge(message.next_sequence)
 
@@ -229,4 +229,4 @@
         self.assertEqual(payloads, exchange.received)
         exchange.receiver.resume()
         exchange.acknowledge()
-        self.assertTrue(exchange.sender.released)
+        self.assertTrue(exchange.sender.is_fully_acknowledged)
--- a/tools/bench_link.py
+++ b/tools/bench_link.py
@@ -110,7 +110,7 @@
         while sent < self.arguments.tokens:
             sent += 1
             for sender, link in self.senders.values():
-                while sender.paused or link.congested:
+                while sender.is_paused or link.is_congested:
                     await asyncio.sleep(0.001)
                 link.send(sender.push(token))
             at += pace
@@ -144,8 +144,8 @@
         payload = receiver.accept(message)
         if payload is not None:
             self.counter.tokens += 1
-            receiver.consumed()
-        due = receiver.acknowledgement()
+            receiver.mark_consumed()
+        due = receiver.due_acknowledgement()
         if due is not None:
             link.send(due)
         if receiver.complete:
--- a/tools/bench_sidecar.py
+++ b/tools/bench_sidecar.py
@@ -103,9 +103,9 @@
         if payload is not None:
             self.bytes += len(payload)
             if not self.stalls:
-                receiver.consumed()
+                receiver.mark_consumed()
         self.ended += receiver.complete
-        acknowledge = receiver.acknowledgement()
+        acknowledge = receiver.due_acknowledgement()
         if acknowledge is not None:
             link.send(acknowledge)
 
--- a/tools/capacity/processor.py
+++ b/tools/capacity/processor.py
@@ -27,7 +27,7 @@
 BATCHES = (1, 8, 64, 512)
 REPEATS = 5
 MICROSECONDS = 1e6
-CODEC = _codec.shared()
+CODEC = _codec.shared_codec()
 
 
 def spent_us(action: collections.abc.Callable, times: int = 1) -> float:
@@ -79,7 +79,7 @@
     state = samples.gateway_state()
     samples.fill(state, 100)
     frames = [
-        _codec.join([CODEC.encode(samples.report(number))])
+        _codec.encode_list([CODEC.encode(samples.report(number))])
         for number in range(100)
     ]
 
@@ -233,7 +233,9 @@
     ]
 
     def carry():
-        CODEC.decode(_codec.join([CODEC.encode(part) for part in parts]))
+        CODEC.decode(
+            _codec.encode_list([CODEC.encode(part) for part in parts])
+        )
 
     return spent_us(carry, 20)
 
--- a/tools/capacity/wire.py
+++ b/tools/capacity/wire.py
@@ -10,7 +10,7 @@
 from tools.capacity import processor
 from tools.capacity import samples
 
-CODEC = _codec.shared()
+CODEC = _codec.shared_codec()
 ADAPTERS = (1000, 3000, 7000, 15_000)
 ATTEMPT = '0123456789abcdef-12345.1'
 TOKEN = b'data: '.ljust(148, b'x') + b'\n\n'
@@ -27,7 +27,7 @@
 
 
 def _frame(message: messages.Message) -> bytes:
-    return _codec.join([CODEC.encode(message)])
+    return _codec.encode_list([CODEC.encode(message)])
 
 
 def change_record() -> bytes:
--- a/tools/matrix/_guards.py
+++ b/tools/matrix/_guards.py
@@ -291,7 +291,7 @@
     Guard(
         'end-of-stream check',
         stream.StreamReceiver,
-        '_end',
+        '_accept_end',
         without_end_check,
         'keyed request',
         ('frame late',),
