--- a/test/hosted/test_workspaces.py
+++ b/test/hosted/test_workspaces.py
@@ -32,7 +32,7 @@
 
     def configure(self):
         self.declare(builders.workspace('hule930', KEY, Priority=0))
-        self.list(test_gateway_direct.plain('i-1', '10.0.0.1:80'))
+        self.list_instances(test_gateway_direct.plain('i-1', '10.0.0.1:80'))
 
     def options(self):
         return {'neighbours_ms': 0}
@@ -43,36 +43,40 @@
         )
         self.publish(record, at_ms=at_ms)
 
-    def ask(self, path=test_gateway_direct.PLAIN_PATH, key=KEY, **changes):
+    def send_request(
+        self, path=test_gateway_direct.PLAIN_PATH, key=KEY, **changes
+    ):
         credential = None if key is None else workspaces.digest(key)
-        return super().ask(path, credential=credential, caller='', **changes)
+        return super().send_request(
+            path, credential=credential, caller='', **changes
+        )
 
 
 class KeyTest(WorkspaceTestCase):
     def test_request_runs_as_its_workspace(self):
-        self.ask()
+        self.send_request()
         _, offer = self.offered()
         self.assertEqual(('hule930', 0), (offer.caller, offer.priority))
 
     def test_without_a_known_key_nothing_runs(self):
         for key in (None, OTHER_KEY):
             with self.subTest(key=key):
-                self.ask(key=key)
+                self.send_request(key=key)
                 self.assertEqual([], self.offers())
                 self.assertIs(errors.Kind.UNKNOWN_KEY, self.answer().kind)
                 self.assertIs(errors.Ran.NOT_RUN, self.answer().ran)
 
     def test_open_route_needs_no_key_and_keeps_its_priority(self):
         for key in (None, OTHER_KEY):
-            self.ask(OPEN_PATH, key)
+            self.send_request(OPEN_PATH, key)
             _, offer = self.offered()
             self.assertEqual(('', 2), (offer.caller, offer.priority))
 
     def test_revoked_key_is_unknown(self):
         self.declare(builders.workspace('hule930', OTHER_KEY), version=8)
-        self.ask()
+        self.send_request()
         self.assertIs(errors.Kind.UNKNOWN_KEY, self.answer().kind)
-        self.ask(key=OTHER_KEY)
+        self.send_request(key=OTHER_KEY)
         self.assertEqual('hule930', self.offered()[1].caller)
 
     def test_key_revoked_while_its_request_waits(self):
@@ -80,11 +84,11 @@
 
         If keys were checked on arrival only, the request would still run.
         """
-        self.list(
+        self.list_instances(
             test_gateway_direct.plain('i-1', '10.0.0.1:80'),
-            test_gateway_direct.row('i-2', '10.0.0.2:80'),
+            test_gateway_direct.direct_instance('i-2', '10.0.0.2:80'),
         )
-        self.ask(test_gateway_direct.MODEL_PATH, adapter='a3')
+        self.send_request(test_gateway_direct.MODEL_PATH, adapter='a3')
         self.assertEqual([], self.offers())
         self.declare(builders.workspace('hule930', OTHER_KEY), version=8)
         self.feed(events.Ticked(150, 0.5))
@@ -94,7 +98,7 @@
         self.declare(
             builders.workspace('hule930', OTHER_KEY, Priority='x'), version=8
         )
-        self.ask()
+        self.send_request()
         self.assertEqual('hule930', self.offered()[1].caller)
 
 
@@ -110,16 +114,16 @@
         return {'neighbours_ms': 1000, 'keys_ready_ms': 2750}
 
     def test_key_that_can_not_be_proven_is_refused_as_not_run(self):
-        self.ask(at_ms=4700)
+        self.send_request(at_ms=4700)
         self.assertEqual('i-1', self.offered()[0])
-        self.ask(at_ms=4800)
+        self.send_request(at_ms=4800)
         answer = self.answer()
         self.assertIs(errors.Kind.KEY_UNPROVEN, answer.kind)
         self.assertIs(errors.Ran.NOT_RUN, answer.ran)
         self.assertGreater(answer.retry_after_ms, 0)
 
     def test_callers_without_a_key_are_served_on(self):
-        self.ask(OPEN_PATH, None, at_ms=60_000)
+        self.send_request(OPEN_PATH, None, at_ms=60_000)
         self.assertEqual('i-1', self.offered()[0])
 
     def test_key_proof_that_expires_while_its_request_waits(self):
@@ -128,11 +132,13 @@
         The key was checked on arrival; when the gateway resumes, it may have
         been revoked long ago.
         """
-        self.list(
+        self.list_instances(
             test_gateway_direct.plain('i-1', '10.0.0.1:80'),
-            test_gateway_direct.row('i-2', '10.0.0.2:80'),
+            test_gateway_direct.direct_instance('i-2', '10.0.0.2:80'),
+        )
+        self.send_request(
+            test_gateway_direct.MODEL_PATH, adapter='a3', at_ms=4000
         )
-        self.ask(test_gateway_direct.MODEL_PATH, adapter='a3', at_ms=4000)
         self.feed(events.Ticked(4900, 0.5))
         self.assertIs(errors.Kind.KEY_UNPROVEN, self.answer().kind)
 
@@ -158,32 +164,34 @@
 
     def setUp(self):
         super().setUp()
-        self.list(
+        self.list_instances(
             test_gateway_direct.plain('i-1', '10.0.0.1:80'),
-            test_gateway_direct.row('i-2', '10.0.0.2:80'),
+            test_gateway_direct.direct_instance('i-2', '10.0.0.2:80'),
+        )
+        self.open_link(
+            addresses.sidecar_peer('10.0.0.2:80'), events.Role.ENDPOINT
         )
-        self.open_link(addresses.beside('10.0.0.2:80'), events.Role.ENDPOINT)
 
     def options(self):
         return {'neighbours_ms': 1000}
 
     def test_no_key_is_used_before_a_neighbour_revision_is_known(self):
-        self.ask(at_ms=500)
+        self.send_request(at_ms=500)
         self.assertIs(errors.Kind.KEY_UNPROVEN, self.answer().kind)
         self.report('10.0.0.2:80', at_ms=510)
-        self.ask(at_ms=520)
+        self.send_request(at_ms=520)
         self.assertEqual('i-1', self.offered()[0])
 
     def test_gateway_without_neighbours_waits_briefly(self):
-        self.ask(at_ms=1000)
+        self.send_request(at_ms=1000)
         self.assertEqual('i-1', self.offered()[0])
 
     def test_no_key_is_used_before_the_neighbours_revision_is_read(self):
         self.report('10.0.0.2:80', at_ms=510, revision=9)
-        self.ask(at_ms=60_000)
+        self.send_request(at_ms=60_000)
         self.assertIs(errors.Kind.KEY_UNPROVEN, self.answer().kind)
         self.declare(builders.workspace('hule930', KEY), version=9)
-        self.ask(at_ms=60_010)
+        self.send_request(at_ms=60_010)
         self.assertEqual('i-1', self.offered()[0])
 
     def test_own_revision_is_sent_to_the_sidecars(self):
@@ -197,16 +205,16 @@
 
     def setUp(self):
         super().setUp()
-        self.list(
+        self.list_instances(
             test_gateway_direct.plain('i-1', '10.0.0.1:80'),
             test_gateway_direct.plain('i-9', '10.0.0.9:80'),
             *(
-                test_gateway_direct.row(f'i-{n}', f'10.0.0.{n}:80')
+                test_gateway_direct.direct_instance(f'i-{n}', f'10.0.0.{n}:80')
                 for n in (2, 3, 4)
             ),
         )
         for number in (2, 3, 4):
-            peer = addresses.beside(f'10.0.0.{number}:80')
+            peer = addresses.sidecar_peer(f'10.0.0.{number}:80')
             self.open_link(peer, events.Role.ENDPOINT)
         self.tick(100)
         self.books = self.reported_to()
@@ -232,13 +240,13 @@
         return {uses.uses for uses in self.sent(messages.QuotaUses)}
 
     def receive_sums(self, spent, at_ms, own_spent=0):
-        found = workspaces.Sum('hule930', spent, 0, own_spent, 0)
+        found = workspaces.UsageTotals('hule930', spent, 0, own_spent, 0)
         for peer in self.books:
             self.receive(messages.QuotaSums('b', (found,)), at_ms, peer)
 
-    def ask(self, tokens=400, at_ms=1100, **changes):
+    def send_request(self, tokens=400, at_ms=1100, **changes):
         changes = {'prompt_tokens': tokens - 10, 'output_tokens': 10} | changes
-        return super().ask(at_ms=at_ms, **changes)
+        return super().send_request(at_ms=at_ms, **changes)
 
     def spent(self):
         return self.state.allowances['hule930'].spent
@@ -249,7 +257,7 @@
         self.assertEqual(self.books, self.reported_to())
 
     def test_request_within_the_quota_runs_and_counts(self):
-        self.ask()
+        self.send_request()
         self.assertEqual('hule930', self.offered()[1].caller)
         self.tick(1300)
         ((use,),) = self.uses()
@@ -257,7 +265,7 @@
 
     def test_request_beyond_the_quota_is_refused_with_a_retry_delay(self):
         self.receive_sums(1000, at_ms=1100)
-        self.ask()
+        self.send_request()
         answer = self.answer()
         self.assertIs(errors.Kind.QUOTA_EXCEEDED, answer.kind)
         self.assertIs(errors.Ran.NOT_RUN, answer.ran)
@@ -292,12 +300,12 @@
             self.assertEqual(name, dict(line.fields)['workspace'])
 
     def test_run_that_may_have_happened_stays_charged(self):
-        self.ask()
+        self.send_request()
         self.fail_attempt(errors.Kind.ENGINE_RESTARTED, errors.Ran.UNKNOWN)
         self.assertEqual(400, self.spent())
 
     def test_request_that_is_proven_not_run_counts_once(self):
-        self.ask()
+        self.send_request()
         self.fail_attempt(errors.Kind.ENDPOINT_UNREACHABLE)
         self.offered()
         self.assertEqual(400, self.spent())
@@ -311,7 +319,7 @@
             workspaces=[builders.workspace('hule930', KEY, **limits)],
         )
         self.publish(record)
-        self.ask()
+        self.send_request()
         peer, offer = self.offered()
         self.receive_sums(400, at_ms=1200, own_spent=400)
         lost = messages.Failed(
@@ -336,7 +344,7 @@
     def test_old_request_does_not_restore_its_old_quota(self):
         """A request from before its quota was lowered runs again."""
         self.publish_safe(8, 1000)
-        self.ask()
+        self.send_request()
         self.publish_safe(9, 100)
         lost = messages.Failed(
             f'r{self.sent_count}.1',
@@ -349,7 +357,7 @@
         self.assertEqual(100, quota.rate_per_s)
 
     def test_reservation_of_a_request_never_sent_is_returned(self):
-        self.ask(path=test_gateway_direct.MODEL_PATH, adapter='a3')
+        self.send_request(path=test_gateway_direct.MODEL_PATH, adapter='a3')
         self.assertEqual(400, self.spent())
         self.feed(events.CallerGone(1200, f'r{self.sent_count}'))
         self.assertEqual(0, self.spent())
@@ -358,7 +366,7 @@
         self.declare(builders.workspace('hule930', KEY), version=8)
         self.tick(1400)
         self.assertEqual({}, self.state.allowances)
-        self.ask(100_000, at_ms=1500)
+        self.send_request(100_000, at_ms=1500)
         self.offered()
 
 
@@ -379,7 +387,7 @@
         self.declare(
             *(builders.workspace(f'w{key}', key) for key in keys), version=8
         )
-        self.list(
+        self.list_instances(
             *(
                 test_gateway_direct.plain(f'i-{n}', f'10.0.0.{n}:80')
                 for n in range(1, 6)
@@ -387,7 +395,7 @@
         )
         retries = 0
         for key in keys:
-            self.ask(key=key)
+            self.send_request(key=key)
             self.fail_attempt(errors.Kind.ENDPOINT_UNREACHABLE)
             retries += len(self.offers())
         self.assertEqual(2, retries)
@@ -398,11 +406,11 @@
         await self.publish(8, routes=routes(), workspaces=list(entries))
         await self.register_all()
         self.gateway = await self.begin('gateway')
-        await self.until_ready()
+        await self.wait_until_ready()
 
     async def test_endpoint_is_sent_the_workspace_and_not_the_key(self):
         await self.begin_with(builders.workspace('hule930', KEY))
-        async with self.ask(
+        async with self.open_request(
             '/puxa403/x', Api_Key=KEY, Tenant='another'
         ) as got:
             self.assertEqual(200, got.status)
--- a/test/loader/loader_helper.py
+++ b/test/loader/loader_helper.py
@@ -28,7 +28,7 @@
         self.orders = 0
         self.open_link(PEER, events.Role.GATEWAY)
 
-    def want(
+    def send_demands(
         self,
         *entries,
         at_ms=0,
--- a/test/loader/test_books.py
+++ b/test/loader/test_books.py
@@ -8,7 +8,7 @@
 
 class QuotaSumsTest(loader_helper.LoaderTestCase):
     def report_use(self, gateway, spent, at_ms=0):
-        uses = (workspaces.Use('w', spent, 0),)
+        uses = (workspaces.GatewayUsage('w', spent, 0),)
         self.receive(messages.QuotaUses(uses), at_ms, gateway)
         (sums,) = self.sent(messages.QuotaSums)
         return sums
--- a/test/loader/test_loader.py
+++ b/test/loader/test_loader.py
@@ -9,7 +9,7 @@
 class OrderTest(loader_helper.LoaderTestCase):
     def test_adapter_that_requests_wait_for_is_loaded(self):
         self.report()
-        self.want(loader_helper.demand('a1'))
+        self.send_demands(loader_helper.demand('a1'))
         order = self.order()
         self.assertTrue(order.load)
         self.assertEqual('m/a1', order.name)
@@ -20,7 +20,7 @@
     def test_nothing_is_ordered_before_the_endpoint_is_known(self):
         """An order without an incarnation could reach a later one."""
         self.report()
-        self.want(loader_helper.demand('a1'), endpoint='')
+        self.send_demands(loader_helper.demand('a1'), endpoint='')
         self.assert_no_order()
 
     def test_empty_endpoint_gets_its_model_first(self):
@@ -30,7 +30,7 @@
         failed: the model has to be loaded first.
         """
         self.report(models=())
-        self.want(loader_helper.demand('a1'))
+        self.send_demands(loader_helper.demand('a1'))
         self.assertEqual(loader_helper.MODEL, self.order().name)
         self.assertFalse(self.sent(messages.Report)[-1].ready)
 
@@ -41,7 +41,9 @@
         carried out; the endpoint refuses it, or crashes if it doesn't check.
         """
         self.report()
-        self.want(loader_helper.demand('a1'), loader_helper.demand('a2'))
+        self.send_demands(
+            loader_helper.demand('a1'), loader_helper.demand('a2')
+        )
         self.end_order()
         stale_read = self.state.reads - 1
         self.report(read=stale_read)
@@ -60,7 +62,7 @@
         self.feed(events.Ticked(400))
         self.feed(events.Ticked(2000))
         self.report(read=self.state.reads, at_ms=2010)
-        self.want(loader_helper.demand('a1'), at_ms=2010)
+        self.send_demands(loader_helper.demand('a1'), at_ms=2010)
         self.report(read=self.state.reads - 1, orders=4, at_ms=2020)
         self.assertEqual(loader_helper.ENDPOINT, str(self.state.endpoint))
 
@@ -70,25 +72,25 @@
         One sidecar sent 7,000 of them in half a minute.
         """
         self.report()
-        self.want(loader_helper.demand('a1'))
+        self.send_demands(loader_helper.demand('a1'))
         sent = 0
         for at_ms in range(0, 5000, 10):
             if self.state.order is not None:
                 sent += 1
                 self.end_order(events.OrderVerdict.CONFLICT, at_ms)
-            self.want(loader_helper.demand('a1'), at_ms=at_ms)
+            self.send_demands(loader_helper.demand('a1'), at_ms=at_ms)
             self.report(at_ms=at_ms)
         self.assertLess(sent, 12)
 
     def test_restarted_endpoint_is_ordered_by_its_new_name_only(self):
         self.orders = 3
         self.report()
-        self.want()
+        self.send_demands()
         self.orders = 0
         self.report(models=())
-        self.want(loader_helper.demand('a1'))
+        self.send_demands(loader_helper.demand('a1'))
         self.assert_no_order()
-        self.want(loader_helper.demand('a1'), endpoint='i-2')
+        self.send_demands(loader_helper.demand('a1'), endpoint='i-2')
         self.assertEqual('i-2', self.order().endpoint)
 
 
@@ -99,7 +101,9 @@
             held=[loader_helper.adapter_version('a1')],
             loading=[loader_helper.adapter_version('a2')],
         )
-        self.want(loader_helper.demand('a3'), loader_helper.demand('a1', 0, 1))
+        self.send_demands(
+            loader_helper.demand('a3'), loader_helper.demand('a1', 0, 1)
+        )
         self.assert_no_order()
 
     def test_least_needed_adapter_is_evicted(self):
@@ -109,7 +113,7 @@
                 loader_helper.adapter_version('a2'),
             ]
         )
-        self.want(
+        self.send_demands(
             loader_helper.demand('a1', 0, 0, 2.0),
             loader_helper.demand('a2', 0, 0, 0.1),
             loader_helper.demand('a3'),
@@ -125,7 +129,7 @@
                 loader_helper.adapter_version('a2'),
             ]
         )
-        self.want(
+        self.send_demands(
             loader_helper.demand('a1', 0, 1),
             loader_helper.demand('a2', 0, 1),
             loader_helper.demand('a3'),
@@ -139,7 +143,7 @@
                 loader_helper.adapter_version('a2'),
             ]
         )
-        self.want(
+        self.send_demands(
             loader_helper.demand('a1', 0, 0, 8.0),
             loader_helper.demand('a2', 0, 0, 8.0),
             loader_helper.demand('a3'),
@@ -150,19 +154,19 @@
 class VersionTest(loader_helper.LoaderTestCase):
     def test_idle_adapter_is_replaced_by_its_newer_version(self):
         self.report(held=[loader_helper.adapter_version('a1')])
-        self.want(loader_helper.demand('a1', version='2'))
+        self.send_demands(loader_helper.demand('a1', version='2'))
         self.assertEqual('m/a1', self.order().name)
 
     def test_version_in_use_is_not_replaced_under_its_runs(self):
         """A replacement waits for the runs and refuses new ones until then."""
         self.report(held=[loader_helper.adapter_version('a1')])
-        self.want(loader_helper.demand('a1', 1, 2, version='2'))
+        self.send_demands(loader_helper.demand('a1', 1, 2, version='2'))
         self.assert_no_order()
 
 
 class ReportTest(loader_helper.LoaderTestCase):
     def test_loading_adapter_is_not_ready(self):
-        self.want()
+        self.send_demands()
         held = [
             loader_helper.adapter_version('a1'),
             loader_helper.adapter_version('a2'),
@@ -178,7 +182,7 @@
         return self.sent(messages.Report)
 
     def test_change_of_ready_adapters_is_reported_to_users_at_once(self):
-        self.want(loader_helper.demand('a2'), at_ms=990)
+        self.send_demands(loader_helper.demand('a2'), at_ms=990)
         self.report(held=[loader_helper.adapter_version('a1')], at_ms=1000)
         self.report(
             held=[
@@ -198,7 +202,7 @@
         thousand messages a second, of which a few dozen were needed at once.
         """
         self.open_link('g2', events.Role.GATEWAY)
-        self.want(loader_helper.demand('a2'), at_ms=990)
+        self.send_demands(loader_helper.demand('a2'), at_ms=990)
         self.report(held=[loader_helper.adapter_version('a1')], at_ms=1000)
         held = [
             loader_helper.adapter_version('a1'),
@@ -214,18 +218,18 @@
         )
 
     def test_waiting_tokens_of_all_gateways_are_reported(self):
-        self.want(waiting_tokens=2000)
-        self.want(waiting_tokens=3000, peer='g2')
-        self.want(waiting_tokens=4000, peer='g2')
+        self.send_demands(waiting_tokens=2000)
+        self.send_demands(waiting_tokens=3000, peer='g2')
+        self.send_demands(waiting_tokens=4000, peer='g2')
         self.report(at_ms=1000)
         self.assertEqual(6000, self.reports()[-1].waiting_tokens)
 
     def test_large_change_of_waiting_tokens_is_reported_early(self):
-        self.want(at_ms=990)
+        self.send_demands(at_ms=990)
         self.report(at_ms=1000)
-        self.want(waiting_tokens=3999, at_ms=1110)
+        self.send_demands(waiting_tokens=3999, at_ms=1110)
         self.assertEqual([], self.reports())
-        self.want(waiting_tokens=4000, at_ms=1120)
+        self.send_demands(waiting_tokens=4000, at_ms=1120)
         self.assertEqual(4000, self.reports()[-1].waiting_tokens)
 
     def test_steps_of_a_load_are_reported_together(self):
@@ -235,11 +239,13 @@
         failure domains.
         """
         sent = 0
-        self.want(at_ms=990)
+        self.send_demands(at_ms=990)
         self.report(held=[loader_helper.adapter_version('a1')], at_ms=1000)
         for at_ms in range(1010, 1100, 10):
-            self.want(loader_helper.demand('a1', at_ms // 10), at_ms=at_ms)
-            self.want(loader_helper.demand(f'b{at_ms}'), at_ms=at_ms)
+            self.send_demands(
+                loader_helper.demand('a1', at_ms // 10), at_ms=at_ms
+            )
+            self.send_demands(loader_helper.demand(f'b{at_ms}'), at_ms=at_ms)
             sent += len(self.reports())
         self.assertEqual(0, sent)
         self.feed(events.Ticked(1100, 0.5))
@@ -252,7 +258,7 @@
         Each load was reported three times to every gateway: when requests
         waited for it, when it began and when it ended.
         """
-        self.want(loader_helper.demand('a1'), at_ms=990)
+        self.send_demands(loader_helper.demand('a1'), at_ms=990)
         self.report(at_ms=1000)
         self.assertTrue(self.reports()[-1].wanted)
         loading = [loader_helper.adapter_version('a1')]
@@ -261,7 +267,7 @@
 
     def test_demand_of_a_silent_gateway_expires(self):
         self.report()
-        self.want(loader_helper.demand('a1', 0, 1))
+        self.send_demands(loader_helper.demand('a1', 0, 1))
         self.feed(events.Ticked(2501))
         self.assertEqual({}, self.state.demand.needs)
 
--- a/test/loader/test_restarts.py
+++ b/test/loader/test_restarts.py
@@ -20,7 +20,7 @@
         super().setUp()
         self.orders = 3
         self.report([adapter_version('a1')], started_ms=FIRST_MS)
-        self.want(demand('a1', 0, 1), started_ms=FIRST_MS)
+        self.send_demands(demand('a1', 0, 1), started_ms=FIRST_MS)
 
     def restart(self, started_ms=SECOND_MS, at_ms=100, **changes):
         """Report an endpoint that has just started and holds nothing."""
@@ -84,7 +84,7 @@
         """A gateway with an older list still names the previous start."""
         self.restart()
         self.end_order(at_ms=110)
-        self.want(demand('a1'), at_ms=120, started_ms=FIRST_MS)
+        self.send_demands(demand('a1'), at_ms=120, started_ms=FIRST_MS)
         self.assertEqual(SECOND_MS, self.state.endpoint.started_ms)
 
     def test_answer_to_an_earlier_order_does_not_end_the_current_one(self):
@@ -94,7 +94,7 @@
         flight. If it ended that one, the next order would be planned on a
         state that the endpoint does not have.
         """
-        self.want(demand('a2'), at_ms=50, started_ms=FIRST_MS)
+        self.send_demands(demand('a2'), at_ms=50, started_ms=FIRST_MS)
         earlier = self.state.order.order_id
         self.restart()
         current = self.state.order.order_id
@@ -107,7 +107,7 @@
 class OtherNameTest(RestartTestCase):
     def test_new_name_known_to_gateways_is_used_at_once(self):
         """Gateways name the new start before the sidecar has noticed it."""
-        self.want(demand('a1'), endpoint=OTHER, started_ms=SECOND_MS)
+        self.send_demands(demand('a1'), endpoint=OTHER, started_ms=SECOND_MS)
         self.restart()
         self.assertEqual(OTHER, self.order().endpoint)
 
@@ -122,7 +122,7 @@
         self.feed(events.Ticked(2000))
         self.report(at_ms=2001, models=(), started_ms=SECOND_MS)
         self.assert_no_order()
-        self.want(
+        self.send_demands(
             demand('a1'), at_ms=2002, endpoint=OTHER, started_ms=SECOND_MS
         )
         self.assertEqual(OTHER, self.order().endpoint)
@@ -141,16 +141,16 @@
         self.orders = 2
         self.feed(events.Ticked(20))
         self.report([adapter_version('a1')], at_ms=20, started_ms=FIRST_MS)
-        self.want(demand('a2'), at_ms=30, started_ms=FIRST_MS)
+        self.send_demands(demand('a2'), at_ms=30, started_ms=FIRST_MS)
         self.assertEqual(2, self.order().orders)
         self.end_order(LOST, at_ms=40)
-        self.want(at_ms=50, started_ms=FIRST_MS)
+        self.send_demands(at_ms=50, started_ms=FIRST_MS)
 
     def load(self, name, at_ms, *held):
         """Request one more adapter; return whether the order is a load."""
         self.feed(events.Ticked(at_ms))
         self.report(held, at_ms=at_ms, started_ms=SECOND_MS)
-        self.want(demand(name), at_ms=at_ms + 1, started_ms=SECOND_MS)
+        self.send_demands(demand(name), at_ms=at_ms + 1, started_ms=SECOND_MS)
         order = self.order()
         self.end_order(at_ms=at_ms + 2)
         return order.load
@@ -181,5 +181,5 @@
         late_ms = self.state.options.stray_load_ms + 100
         self.feed(events.Ticked(late_ms))
         self.report([], at_ms=late_ms, started_ms=SECOND_MS)
-        self.want(at_ms=late_ms, started_ms=SECOND_MS)
+        self.send_demands(at_ms=late_ms, started_ms=SECOND_MS)
         self.assertEqual(2, self.state.slots)
--- a/test/model_log.py
+++ b/test/model_log.py
@@ -45,14 +45,14 @@
         try:
             return self.model.append(stream, data, self.clock.now_ms())
         except failures.AnswerLost as error:
-            raise outgoing.MaybeDone('no answer') from error
+            raise outgoing.CallOutcomeUnknown('no answer') from error
         except failures.StandInError as error:
-            raise outgoing.Refused('unavailable', 503) from error
+            raise outgoing.CallRefused('unavailable', 503) from error
 
     async def read(self, stream, from_offset, limit=1000, wait_ms=0):
         self.clock.advance(1)
         if self.read_fails():
-            raise outgoing.MaybeDone('no answer')
+            raise outgoing.CallOutcomeUnknown('no answer')
         try:
             return self.model.read(
                 stream, from_offset, limit, self.clock.now_ms()
@@ -60,7 +60,7 @@
         except failures.OffsetGone as error:
             detail = {'first_offset': error.first_offset}
             raise log_service.OffsetGone(
-                outgoing.Refused('offset_gone', 410, detail)
+                outgoing.CallRefused('offset_gone', 410, detail)
             ) from error
         except failures.StandInError as error:
-            raise outgoing.Refused('unavailable', 503) from error
+            raise outgoing.CallRefused('unavailable', 503) from error
--- a/test/platform/test_foreign_entries.py
+++ b/test/platform/test_foreign_entries.py
@@ -141,11 +141,11 @@
         for version in ('7', True, 7.0, -1, None, [7], 10**400):
             with self.subTest(version=version):
                 with self.assertRaises(routes.MalformedRecordError):
-                    platform.decode_news(
+                    platform.decode_configuration_record(
                         builders.version_record('a3', version)
                     )
                 with self.assertRaises(routes.MalformedRecordError):
-                    platform.decode_news(
+                    platform.decode_configuration_record(
                         builders.configuration_record(version)
                     )
 
@@ -157,7 +157,7 @@
         route = builders.route(**{field: value})
         record = builders.configuration_record(routes=[route])
         try:
-            news = platform.decode_news(record)
+            news = platform.decode_configuration_record(record)
         except routes.MalformedRecordError:
             return
         self.assertIsInstance(news, routes.RouteTable)
--- a/test/platform/test_records.py
+++ b/test/platform/test_records.py
@@ -10,13 +10,15 @@
 
 class NewsTest(unittest.TestCase):
     def test_routes_become_a_table(self):
-        table = platform.decode_news(builders.configuration_record(9))
+        table = platform.decode_configuration_record(
+            builders.configuration_record(9)
+        )
         self.assertEqual(9, table.version)
         stream, plain = table.routes
-        self.assertIs(routes.Repeat.STREAM, stream.repeat)
-        self.assertIs(routes.Repeat.ONCE, plain.repeat)
+        self.assertIs(routes.RepeatPolicy.STREAM, stream.repeat)
+        self.assertIs(routes.RepeatPolicy.ONCE, plain.repeat)
         self.assertEqual(1500, plain.timeout_ms)
-        self.assertEqual((routes.Share('wuno96b', 1.0),), plain.shares)
+        self.assertEqual((routes.ServiceShare('wuno96b', 1.0),), plain.shares)
         model, other = table.services
         self.assertEqual(6, model.engine.adapter_slots)
         self.assertIsNone(other.engine)
@@ -29,17 +31,25 @@
         record = builders.configuration_record(
             routes=[builders.route(TrafficSplit=split)]
         )
-        (route,) = platform.decode_news(record).routes
+        (route,) = platform.decode_configuration_record(record).routes
         self.assertEqual([90, 10], [share.weight for share in route.shares])
 
     def test_new_version_of_an_adapter(self):
-        news = platform.decode_news(builders.version_record('a3', 5))
+        news = platform.decode_configuration_record(
+            builders.version_record('a3', 5)
+        )
         named = messages.AdapterVersion(builders.adapter_name('a3'), '5')
         self.assertEqual(routes.NewAdapterVersion(named), news)
 
     def test_other_records_are_no_news(self):
-        self.assertIsNone(platform.decode_news(builders.keyed('x', {})))
-        self.assertIsNone(platform.decode_news(builders.keyed('config', None)))
+        self.assertIsNone(
+            platform.decode_configuration_record(builders.keyed('x', {}))
+        )
+        self.assertIsNone(
+            platform.decode_configuration_record(
+                builders.keyed('config', None)
+            )
+        )
 
     def test_malformed_records_are_told_apart(self):
         for data in (
@@ -51,7 +61,7 @@
         ):
             with self.subTest(data=data):
                 with self.assertRaises(routes.MalformedRecordError):
-                    platform.decode_news(data)
+                    platform.decode_configuration_record(data)
 
 
 class InstanceTest(unittest.TestCase):
--- a/test/platform/test_store.py
+++ b/test/platform/test_store.py
@@ -91,7 +91,7 @@
         """Every call to the store has a cost, refused ones included."""
         self.client.hedge_ms = NO_HEDGE_MS
         self.answers = [refuse]
-        with self.assertRaises(outgoing.NotDone):
+        with self.assertRaises(outgoing.CallNotSent):
             await self.next_offset()
         self.assertEqual(1, self.calls)
 
@@ -146,12 +146,12 @@
         """
         self.answers += [response_of_era('3'), response_of_era('2')]
         await self.client.read(STREAM, 7)
-        with self.assertRaises(outgoing.NotDone):
+        with self.assertRaises(outgoing.CallNotSent):
             await self.client.read(STREAM, 7, 100)
 
     async def test_era_that_is_no_number_is_no_answer(self):
         self.answers += [response_of_era('x')]
-        with self.assertRaises(outgoing.MaybeDone):
+        with self.assertRaises(outgoing.CallOutcomeUnknown):
             await self.client.read(STREAM, 7, 100)
 
     async def test_more_than_one_answer_holds_is_not_whole(self):
--- a/test/platform/test_workspaces.py
+++ b/test/platform/test_workspaces.py
@@ -18,13 +18,13 @@
 
 def decode_workspaces(*entries):
     record = builders.configuration_record(workspaces=list(entries))
-    return platform.decode_news(record).workspaces
+    return platform.decode_configuration_record(record).workspaces
 
 
 def accept_request(*headers, path='/lohu930/x'):
     pairs = multidict.CIMultiDict([('Host', builders.HOST), *headers])
     request = test_utils.make_mocked_request('POST', path, pairs)
-    return platform.CallerDialect().accept(request, 5000)
+    return platform.CallerDialect().parse_head(request, 5000)
 
 
 class DecodeTest(unittest.TestCase):
@@ -76,7 +76,7 @@
         record = builders.configuration_record(
             routes=[builders.route(AllowAnonymous=True), builders.route('b')]
         )
-        found = platform.decode_news(record).routes
+        found = platform.decode_configuration_record(record).routes
         self.assertEqual([True, False], [route.public for route in found])
 
 
--- a/test/policy/fleets.py
+++ b/test/policy/fleets.py
@@ -16,7 +16,7 @@
         'adapter_priority': 0,
         'rate': 0.0,
     }
-    return policy.Want(**(values | changes))
+    return policy.AwaitedAdapter(**(values | changes))
 
 
 def held(name='a1', **changes):
@@ -28,7 +28,7 @@
         'rate': 0.0,
         'priority': 0,
     }
-    return policy.Held(**(values | changes))
+    return policy.HeldAdapter(**(values | changes))
 
 
 def query(name='a1', **changes):
@@ -97,7 +97,7 @@
     def least_loaded(self):
         return min(self.views, key=self.load_of, default=None)
 
-    def held_lately(self, name, adapter):
+    def has_held_recently(self, name, adapter):
         return name in self.recent
 
     def load_wait_ms(self):
--- a/test/policy/test_demand.py
+++ b/test/policy/test_demand.py
@@ -18,7 +18,7 @@
 
     def request(self, name, every_ms, until_ms, from_ms=0):
         for at_ms in range(from_ms, until_ms, every_ms):
-            self.demand.note(builders.adapter(name), at_ms)
+            self.demand.record_request(builders.adapter(name), at_ms)
 
     def rate(self, name, at_ms):
         return self.demand.rate(builders.adapter(name), at_ms)
--- a/test/policy/test_direct_router.py
+++ b/test/policy/test_direct_router.py
@@ -32,7 +32,7 @@
 
 
 def choose(fleet, **changes):
-    router = policy.named('quick-reload').router
+    router = policy.create_policy('quick-reload').router
     return router.choose(query(**changes), fleet)
 
 
--- a/test/policy/test_load_order.py
+++ b/test/policy/test_load_order.py
@@ -56,7 +56,7 @@
         ahead = [fleets.want(f'a{x}', [9000] * 2) for x in range(3)]
         found = plan(*ahead, fleets.want('cold', [1400]))
         self.assertNotIn('cold', names(found))
-        (given_up,) = found.given_up
+        (given_up,) = found.late_loads
         self.assertEqual('cold', given_up.adapter.adapter)
         self.assertEqual(1500, given_up.wait_ms)
 
@@ -64,16 +64,16 @@
         ahead = [fleets.want(f'a{x}', [9000] * 2) for x in range(3)]
         found = plan(*ahead, fleets.want('warm', [1400], rate=1.0))
         self.assertIn('warm', names(found))
-        self.assertEqual((), found.given_up)
+        self.assertEqual((), found.late_loads)
 
     def test_only_the_late_requests_of_an_adapter_are_given_up(self):
         ahead = [fleets.want(f'a{x}', [9000] * 3) for x in range(3)]
         found = plan(*ahead, fleets.want('cold', [1400, 8000]))
         self.assertIn('cold', names(found))
-        self.assertEqual(1, len(found.given_up))
+        self.assertEqual(1, len(found.late_loads))
 
     def test_baseline_gives_nothing_up(self):
         wants = [fleets.want('a', [0]), fleets.want('b', [], waiting=1)]
         found = plan(*wants, order=_baselines.OldestFirst())
         self.assertEqual(['a', 'b'], names(found))
-        self.assertEqual((), found.given_up)
+        self.assertEqual((), found.late_loads)
--- a/test/publishing/test_publisher.py
+++ b/test/publishing/test_publisher.py
@@ -120,7 +120,7 @@
         self.log.clock.advance(100_000)
         await self.publish(builders.declared('a3'))
         await self.write_snapshot()
-        revision = await self.new_publisher().settle_earlier(
+        revision = await self.new_publisher().settle_from_earlier_session(
             caught.exception.change_id
         )
         self.assertEqual(revision, 2)
@@ -139,7 +139,9 @@
     async def test_an_unknown_change_stays_unsettled(self):
         await self.publish(builders.declared('a1'))
         with self.assertRaises(publishing.UnsettledError):
-            await self.new_publisher().settle_earlier('nobody-sent-it')
+            await self.new_publisher().settle_from_earlier_session(
+                'nobody-sent-it'
+            )
 
 
 class TrimmedLogTest(PublisherTestCase):
--- a/test/routes/test_key_proof.py
+++ b/test/routes/test_key_proof.py
@@ -26,7 +26,7 @@
 
     def setUp(self):
         self.follower = routes.RouteFollower(
-            STREAM, platform.decode_news, BOUND_MS
+            STREAM, platform.decode_configuration_record, BOUND_MS
         )
         self.follower.start(0)
         self.end = 1
@@ -68,7 +68,7 @@
     def valid_until_ms(self):
         """Return when keys stop being valid without another read."""
         at_ms = 0
-        while self.follower.keys_hold(at_ms):
+        while self.follower.are_keys_proven(at_ms):
             at_ms += 10
         return at_ms
 
@@ -113,10 +113,12 @@
         self.assertEqual(until_ms, self.valid_until_ms())
 
     def test_without_a_bound_keys_are_always_used(self):
-        follower = routes.RouteFollower(STREAM, platform.decode_news)
+        follower = routes.RouteFollower(
+            STREAM, platform.decode_configuration_record
+        )
         follower.start(0)
         follower.handle(self.event((self.record(7), 0), from_offset=None))
-        self.assertTrue(follower.keys_hold(1_000_000))
+        self.assertTrue(follower.are_keys_proven(1_000_000))
         self.assertEqual(
             [],
             [
@@ -140,7 +142,7 @@
         again_ms = due_ms + 1000 + _key_proof.CHECK_RETRY_MS
         self.assertEqual(1, len(self.checks_at(again_ms)))
         self.check(begun_ms=again_ms, at_ms=again_ms + 5)
-        self.assertTrue(self.follower.keys_hold(again_ms + 4000))
+        self.assertTrue(self.follower.are_keys_proven(again_ms + 4000))
 
     def test_expiry_and_renewal_of_the_proof_are_logged_once(self):
         texts = []
@@ -247,10 +249,10 @@
             era=1,
             from_offset=1,
         )
-        self.assertTrue(self.follower.keys_hold(1600 + 4000))
+        self.assertTrue(self.follower.are_keys_proven(1600 + 4000))
 
     def test_keys_are_proven_after_the_rewrite_time(self):
         self.restore_log()
         begun_ms = 1020 + _key_proof.LOG_REWRITE_MS
         self.check(begun_ms=begun_ms, at_ms=begun_ms + 10, era=1)
-        self.assertTrue(self.follower.keys_hold(begun_ms + 4000))
+        self.assertTrue(self.follower.are_keys_proven(begun_ms + 4000))
--- a/test/routes/test_view.py
+++ b/test/routes/test_view.py
@@ -15,7 +15,7 @@
 def view(*entries, newest=None):
     record = builders.configuration_record(routes=list(entries))
     return routes.RouteView.from_table(
-        platform.decode_news(record), newest or {}
+        platform.decode_configuration_record(record), newest or {}
     )
 
 
@@ -85,10 +85,12 @@
         newest = {name: _view.NewestVersion('4', 1000, '3')}
         found = view(builders.route(), newest=newest)
         adapter = messages.AdapterVersion(name, '4')
-        soon = found.acceptable(
+        soon = found.acceptable_versions(
             adapter, 1000 + _view.SUPERSEDED_VERSION_MS - 1
         )
-        later = found.acceptable(adapter, 1000 + _view.SUPERSEDED_VERSION_MS)
+        later = found.acceptable_versions(
+            adapter, 1000 + _view.SUPERSEDED_VERSION_MS
+        )
         self.assertEqual(['4', '3'], [a.version for a in soon])
         self.assertEqual(['4'], [a.version for a in later])
 
@@ -96,7 +98,7 @@
 class FollowerTest(unittest.TestCase):
     def setUp(self):
         self.follower = routes.RouteFollower(
-            platform.CONFIGURATION_STREAM, platform.decode_news
+            platform.CONFIGURATION_STREAM, platform.decode_configuration_record
         )
         self.follower.start(0)
 
--- a/test/sidecar_helper.py
+++ b/test/sidecar_helper.py
@@ -72,7 +72,7 @@
     def send(self, peer, message):
         self.sent.append((peer, message))
 
-    def congested(self, peer):
+    def is_congested(self, peer):
         return self.reports_congestion
 
     def linked(self, peer):
@@ -111,8 +111,8 @@
 class RunTestCase(unittest.IsolatedAsyncioTestCase):
     """Test case for runs at a scripted endpoint.
 
-    ``fed`` holds the events fed to the reducer. While ``accepting`` is true,
-    every response head is accepted, as the reducer would do.
+    ``fed_events`` holds the events fed to the reducer. While ``accepting`` is
+    true, every response head is accepted, as the reducer would do.
     """
 
     engine = True
@@ -120,7 +120,7 @@
     async def asyncSetUp(self):
         self.stack = contextlib.AsyncExitStack()
         self.addAsyncCleanup(self.stack.aclose)
-        self.fed = []
+        self.fed_events = []
         self.changed = asyncio.Event()
         self.accepting = True
         self.outbox = RecordingOutbox()
@@ -146,15 +146,15 @@
         self.stack.push_async_callback(tasks.stop)
 
     def feed(self, event):
-        self.fed.append(event)
+        self.fed_events.append(event)
         self.changed.set()
         if isinstance(event, events.RunStarted) and self.accepting:
             self.calls.accept(event.attempt_id)
 
-    async def until(self, event_type):
+    async def wait_for_event(self, event_type):
         """Wait for an event of a type and return the first one."""
         while True:
-            for event in self.fed:
+            for event in self.fed_events:
                 if isinstance(event, event_type):
                     return event
             self.changed.clear()
@@ -170,7 +170,7 @@
         self.calls.start(effects.StartRun(attempt_id, offer, 'epoch-1', 'g1'))
 
     def event_types(self):
-        return [type(event) for event in self.fed]
+        return [type(event) for event in self.fed_events]
 
 
 async def unreachable_url():
@@ -182,4 +182,4 @@
     return f'http://127.0.0.1:{port}'
 
 
-LOST_ANSWER = outgoing.MaybeDone('lost')
+LOST_ANSWER = outgoing.CallOutcomeUnknown('lost')
--- a/test/standin/test_servers.py
+++ b/test/standin/test_servers.py
@@ -72,13 +72,13 @@
         retries publishes an operator's change twice.
         """
         await self.fault(self.url, 'append_answer_lost')
-        with self.assertRaises(outgoing.MaybeDone):
+        with self.assertRaises(outgoing.CallOutcomeUnknown):
             await self.log.append('s', b'x')
         self.assertEqual(len((await self.log.read('s', 0)).records), 1)
 
     async def test_outage_refuses(self):
         await self.fault(self.url, 'log_down')
-        with self.assertRaises(outgoing.Refused) as caught:
+        with self.assertRaises(outgoing.CallRefused) as caught:
             await self.log.append('s', b'x')
         self.assertEqual(caught.exception.kind, 'unavailable')
         await self.fault(self.url, 'log_down', 0)
@@ -145,7 +145,7 @@
         )
 
     async def assert_refused(self, kind, awaitable):
-        with self.assertRaises(outgoing.Refused) as caught:
+        with self.assertRaises(outgoing.CallRefused) as caught:
             await awaitable
         self.assertEqual(caught.exception.kind, kind)
 
@@ -193,7 +193,7 @@
 
     async def test_load_with_a_lost_answer_took_effect(self):
         await self.fault(self.url, 'load_answer_lost')
-        with self.assertRaises(outgoing.MaybeDone):
+        with self.assertRaises(outgoing.CallOutcomeUnknown):
             await self.load()
         slot = (await self.engine.status()).slots[0]
         self.assertEqual(slot.state, endpoint.SlotState.READY)
@@ -210,7 +210,7 @@
         )
         epoch = answer.epoch
         await self.fault(self.url, 'restart')
-        with self.assertRaises(outgoing.MaybeDone):
+        with self.assertRaises(outgoing.CallOutcomeUnknown):
             await read(answer)
         status = await self.engine.status()
         self.assertNotEqual(status.epoch, epoch)
@@ -218,7 +218,7 @@
 
     async def test_marked_body_crashes_the_engine(self):
         await self.load()
-        with self.assertRaises(outgoing.MaybeDone):
+        with self.assertRaises(outgoing.CallOutcomeUnknown):
             await self.requests.open(
                 chat_request('a@1', 'crash-this-engine', 'r-1')
             )
@@ -232,7 +232,7 @@
         )
         self.assertTrue(await self.engine.cancel('r-1'))
         self.assertFalse(await self.engine.cancel('r-1'))
-        with self.assertRaises(outgoing.MaybeDone):
+        with self.assertRaises(outgoing.CallOutcomeUnknown):
             await read(answer)
 
     async def test_client_that_goes_away_frees_the_engine(self):
@@ -276,7 +276,7 @@
     async def test_resets_differ_in_whether_the_call_ran(self):
         for fault, count in (('reset_before_run', 0), ('reset_after_run', 1)):
             await self.fault(self.url, fault)
-            with self.assertRaises(outgoing.MaybeDone):
+            with self.assertRaises(outgoing.CallOutcomeUnknown):
                 await self.call()
             await self.fault(self.url, fault, 0)
             runs = await self.runs(self.url, '/stand-in/runs')
--- a/test/test_connections.py
+++ b/test/test_connections.py
@@ -12,7 +12,7 @@
 
 DIALECTS = {
     'Request-Id': platform.CallerDialect(),
-    'X-Request-Id': _dialect.OwnDialect(),
+    'X-Request-Id': _dialect.NativeDialect(),
 }
 
 
--- a/test/test_endpoint_directory.py
+++ b/test/test_endpoint_directory.py
@@ -63,13 +63,13 @@
         self.check()
         if from_offset < self.first:
             raise log_service.OffsetGone(
-                outgoing.Refused('', 410, {'first_offset': self.first})
+                outgoing.CallRefused('', 410, {'first_offset': self.first})
             )
         return self.result(from_offset)
 
     def check(self):
         if self.down:
-            raise outgoing.NotDone('down')
+            raise outgoing.CallNotSent('down')
 
     def restore_older_copy(self, records):
         """Keep only the first ``records`` records and begin a new era."""
@@ -343,5 +343,5 @@
         await self.names()
         self.store.era -= 1
         self.store.put('i-2')
-        with self.assertRaises(outgoing.NotDone):
+        with self.assertRaises(outgoing.CallNotSent):
             await self.directory.list()
--- a/test/test_gateway_answers.py
+++ b/test/test_gateway_answers.py
@@ -100,7 +100,9 @@
             await answer
 
     async def test_error_event_is_sent_before_the_connection_is_aborted(self):
-        reader, _ = await self.raw(builders.http_post('{"model": "a1@1"}'))
+        reader, _ = await self.send_raw(
+            builders.http_post('{"model": "a1@1"}')
+        )
         attempt_id = await self.sidecar.offered()
         self.sidecar.start(attempt_id, **SSE)
         self.sidecar.answer(attempt_id, b'data: half')
@@ -113,7 +115,9 @@
         self.assertEqual('unknown', error['ran'])
 
     async def test_failed_body_aborts_the_connection(self):
-        reader, _ = await self.raw(builders.http_post('{"model": "a1@1"}'))
+        reader, _ = await self.send_raw(
+            builders.http_post('{"model": "a1@1"}')
+        )
         attempt_id = await self.sidecar.offered()
         self.sidecar.start(attempt_id, Content_Type='application/json')
         self.sidecar.answer(attempt_id, b'{"half": ')
@@ -176,7 +180,9 @@
         self.assertEqual(b'one two three', (await answer)[2])
 
     async def test_caller_that_leaves_cancels_its_attempt(self):
-        _, writer = await self.raw(builders.http_post('{"model": "a1@1"}'))
+        _, writer = await self.send_raw(
+            builders.http_post('{"model": "a1@1"}')
+        )
         attempt_id = await self.sidecar.offered()
         writer.close()
         cancelled = await self.sidecar.next(messages.Cancel)
@@ -200,7 +206,9 @@
         An endpoint answers with a line break inside a header. The failure to
         write the head must not leave the request or connection open.
         """
-        reader, _ = await self.raw(builders.http_post('{"model": "a1@1"}'))
+        reader, _ = await self.send_raw(
+            builders.http_post('{"model": "a1@1"}')
+        )
         attempt_id = await self.sidecar.offered()
         with self.assertLogs('berylhollow', 'ERROR'):
             self.sidecar.start(attempt_id, X_A='1\r\nX-B: 2')
@@ -220,7 +228,7 @@
         """
         await self.begin(slow_client_timeout_ms=200)
         await self.add_sidecar()
-        reader, writer = await self.raw(
+        reader, writer = await self.send_raw(
             builders.http_post('{"model": "a1@1"}')
         )
         attempt_id = await self.sidecar.offered()
@@ -263,6 +271,6 @@
         address = f'127.0.0.1:{other.server.port}'
         row = builders.instance('e1', address=address)
         self.shell.feed(events.InstancesListed(0, (row,)))
-        await self.until(lambda: other.downs)
+        await self.until(lambda: other.link_down_count)
         self.assertEqual({}, self.shell.links.open_links)
         await self.assert_problem(self.post(), 503, 'no_endpoint')
--- a/test/test_gateway_requests.py
+++ b/test/test_gateway_requests.py
@@ -107,7 +107,7 @@
         self.assertEqual('POST', headers['Allow'])
 
     async def test_absolute_request_target_is_accepted(self):
-        reader, _ = await self.raw(
+        reader, _ = await self.send_raw(
             b'GET http://g:80/healthz HTTP/1.1\r\nHost: g\r\n\r\n'
         )
         self.assertIn(b' 200 ', await reader.readline())
@@ -144,7 +144,7 @@
         )
         for data, kind in cases:
             with self.subTest(data=data[:60]):
-                reader, _ = await self.raw(data)
+                reader, _ = await self.send_raw(data)
                 head = await reader.readuntil(b'\r\n\r\n')
                 problem = json.loads(await reader.readuntil(b'}'))
                 self.assertEqual(kind, problem['kind'], head)
@@ -154,7 +154,7 @@
         head, _, body = builders.http_post(
             '{"model": "a1@1"}', '/v1/completions', 'Expect: 100-continue'
         ).partition(b'\r\n\r\n')
-        reader, writer = await self.raw(head + b'\r\n\r\n')
+        reader, writer = await self.send_raw(head + b'\r\n\r\n')
         interim = await reader.readuntil(b'\r\n\r\n')
         self.assertTrue(interim.startswith(b'HTTP/1.1 100 '))
         writer.write(body)
--- a/test/test_gateway_stop.py
+++ b/test/test_gateway_stop.py
@@ -40,12 +40,14 @@
         self.noticed.set()
         await self.until(lambda: self.shell.driver.state.stopping)
         with self.assertRaises(ConnectionRefusedError):
-            await self.raw(b'')
+            await self.send_raw(b'')
         await self.answer(first, attempt_id)
         self.assertEqual(0, await stopping)
 
     async def test_stop_ends_idle_connections(self):
-        reader, _ = await self.raw(b'GET /healthz HTTP/1.1\r\nHost: g\r\n\r\n')
+        reader, _ = await self.send_raw(
+            b'GET /healthz HTTP/1.1\r\nHost: g\r\n\r\n'
+        )
         await reader.readuntil(b'}')
         self.noticed.set()
         self.assertEqual(0, await self.shell.stop())
@@ -75,9 +77,9 @@
     async def test_connection_over_the_limit_is_refused(self):
         await self.begin(listen={'port': 0, 'connections': 1})
         request = b'GET /healthz HTTP/1.1\r\nHost: g\r\n\r\n'
-        reader, writer = await self.raw(request)
+        reader, writer = await self.send_raw(request)
         await reader.readuntil(b'}')
-        refused, _ = await self.raw(b'')
+        refused, _ = await self.send_raw(b'')
         answer = await refused.read()
         self.assertIn(b' 503 ', answer.partition(b'\r\n')[0])
         self.assertIn(b'"kind": "overloaded"', answer)
--- a/test/test_logs.py
+++ b/test/test_logs.py
@@ -50,7 +50,7 @@
     def test_line_has_its_fields_and_utc_time(self):
         def write():
             fields = [('request_id', 'r1'), ('adapter', None), ('name', 'x')]
-            LOG.info('took %d', 3, extra=logs.extra(fields))
+            LOG.info('took %d', 3, extra=logs.extra_fields(fields))
 
         (line,) = self.lines(write)
         self.assertRegex(line.pop('time'), r'^\d{4}-.*T.*\.\d{3}Z$')
--- a/test/test_metrics.py
+++ b/test/test_metrics.py
@@ -144,7 +144,7 @@
                 release.wait()
 
         async def serve():
-            metrics.open_soon(Slow())
+            metrics.open_in_background(Slow())
             opened.wait()
 
         # Unblocks the import if the stop does wait for it, so the test ends.
--- a/test/test_outgoing.py
+++ b/test/test_outgoing.py
@@ -69,7 +69,7 @@
         for method in ('GET', 'PUT', 'DELETE', 'POST'):
             with self.subTest(method):
                 server = RecordingServer()
-                with self.assertRaises(outgoing.MaybeDone):
+                with self.assertRaises(outgoing.CallOutcomeUnknown):
                     await self.call(server, method)
                 self.assertEqual(len(server.heads), 1)
 
@@ -87,26 +87,26 @@
         port = server.sockets[0].getsockname()[1]
         server.close()
         await server.wait_closed()
-        with self.assertRaises(outgoing.NotDone):
+        with self.assertRaises(outgoing.CallNotSent):
             await outgoing.call(
                 await self.session(), 'POST', f'http://127.0.0.1:{port}/'
             )
 
     async def test_partial_answer_is_maybe_done(self):
-        with self.assertRaises(outgoing.MaybeDone):
+        with self.assertRaises(outgoing.CallOutcomeUnknown):
             await self.call(RecordingServer(TRUNCATED_ANSWER))
 
     async def test_timeout_is_maybe_done(self):
         url = await RecordingServer(keep_open=True).start(self)
-        with self.assertRaises(outgoing.MaybeDone):
+        with self.assertRaises(outgoing.CallOutcomeUnknown):
             await outgoing.call(
                 await self.session(), 'POST', url, timeout_ms=20
             )
 
     async def test_refusal_needs_the_servers_own_code(self):
-        with self.assertRaises(outgoing.MaybeDone):
+        with self.assertRaises(outgoing.CallOutcomeUnknown):
             await self.call(RecordingServer(BARE_503))
-        with self.assertRaises(outgoing.Refused) as caught:
+        with self.assertRaises(outgoing.CallRefused) as caught:
             await self.call(RecordingServer(CODED_503))
         self.assertEqual(caught.exception.kind, 'unavailable')
 
@@ -114,7 +114,7 @@
         server = RecordingServer(
             b'HTTP/1.1 307 Moved\r\nLocation: /y\r\nContent-Length: 0\r\n\r\n'
         )
-        with self.assertRaises(outgoing.MaybeDone):
+        with self.assertRaises(outgoing.CallOutcomeUnknown):
             await self.call(server, 'POST')
         self.assertEqual(len(server.heads), 1)
 
@@ -160,7 +160,7 @@
             client = endpoint.EndpointClient(url, engine=False)
             self.addAsyncCleanup(client.close)
             answer = await client.open(endpoint.EndpointRequest('GET', '/'))
-            with self.assertRaises(outgoing.MaybeDone):
+            with self.assertRaises(outgoing.CallOutcomeUnknown):
                 async for chunk in answer.chunks():
                     self.assertEqual(chunk, b'half')
 
@@ -278,7 +278,7 @@
         rest = b''
         try:
             rest = await outgoing.read_body(response)
-        except outgoing.MaybeDone:
+        except outgoing.CallOutcomeUnknown:
             return True, rest
         finally:
             await session.close()
--- a/test/test_shared_reads.py
+++ b/test/test_shared_reads.py
@@ -29,7 +29,7 @@
     async def read(self, stream, from_offset, wait_ms=0):
         self.calls += 1
         if self.down:
-            raise outgoing.NotDone('down')
+            raise outgoing.CallNotSent('down')
         entries = tuple(
             messages.LogEntry(offset, 0, data)
             for offset, data in enumerate(self.records)
@@ -63,7 +63,7 @@
 
     def deliver_to(self, shared):
         for part in self.parts:
-            shared.take(part)
+            shared.add_part(part)
 
     async def data(self, shared, offset):
         result = await shared.read(STREAM, offset, 1500)
@@ -188,7 +188,7 @@
         self.deliver_to(second)
         self.assertEqual(([b'news'], 1), await self.data(second, 0))
         for part in late:
-            second.take(part)
+            second.add_part(part)
         calls = self.log.calls
         self.clock.advance(SILENCE_TIMEOUT_MS)
         self.assertEqual(([], 1), await self.data(second, 1))
@@ -200,7 +200,7 @@
         It must not be waited for.
         """
         second = self.gateway('g2')
-        second.take(messages.StreamPart(STREAM, 900, 901, (b'x',), 'g1'))
+        second.add_part(messages.StreamPart(STREAM, 900, 901, (b'x',), 'g1'))
         self.log.records.append(b'real')
         self.assertEqual(([b'real'], 1), await self.data(second, 0))
         self.parts.clear()
@@ -222,7 +222,7 @@
         """The log refuses some gateways and serves the others."""
         first, second = self.gateway('g1'), self.gateway('g2')
         self.log.down = True
-        with self.assertRaises(outgoing.NotDone):
+        with self.assertRaises(outgoing.CallNotSent):
             await self.data(first, 0)
         self.log.down = False
         self.log.records.append(b'news')
@@ -289,7 +289,7 @@
     async def test_part_of_an_earlier_era_is_dropped(self):
         await self.second.newest(STREAM)
         late = messages.StreamPart(STREAM, 1, 3, (b'x', b'y'), 'g1', 0)
-        self.second.take(late)
+        self.second.add_part(late)
         self.log.records.append(b'new')
         self.clock.advance(10_000)
         self.assertEqual(([b'new'], 2), await self.data(self.second, 1))
--- a/test/test_sidecar.py
+++ b/test/test_sidecar.py
@@ -114,7 +114,7 @@
         loaded = events.LoadSucceeded(60_000, order.order_id, 'epoch-1')
         self.feed(loaded, events.Ticked(60_000))
         self.assertLess(self.state.load_ms, 60_000)
-        self.assertFalse(_pauses.measures(self.state, 0, 60_050))
+        self.assertFalse(_pauses.has_no_pause(self.state, 0, 60_050))
 
 
 class AttemptTest(SidecarTestCase):
@@ -207,7 +207,7 @@
         gateway = events.Role.GATEWAY
         self.feed(events.LinkOpened(20, 'g1', gateway, 'i1'))
         self.offer('r2.1')
-        orphan_ms = self.state.options.orphan_ms
+        orphan_ms = self.state.options.resume_timeout_ms
         self.feed(events.Ticked(9 + orphan_ms))
         self.assertEqual([], self.of_type(effects.CancelRun))
         self.feed(events.Ticked(10 + orphan_ms))
@@ -218,7 +218,7 @@
         self.run_offer('r1.1')
         self.feed(events.LinkClosed(10, 'g1'))
         self.receive(messages.Resume('r1.1', 0), at_ms=20, peer='g1')
-        self.feed(events.Ticked(10 + self.state.options.orphan_ms))
+        self.feed(events.Ticked(10 + self.state.options.resume_timeout_ms))
         self.assertEqual([], self.of_type(effects.CancelRun))
 
     def test_refusal_by_a_restarted_engine_triggers_a_status_read(self):
--- a/test/test_sidecar_runs.py
+++ b/test/test_sidecar_runs.py
@@ -36,10 +36,10 @@
             write_parts(CHUNKED, chunk(b'ab'), chunk(b'c'), LAST_CHUNK)
         )
         self.start()
-        ended = await self.until(events.RunEnded)
+        ended = await self.wait_for_event(events.RunEnded)
         self.assertEqual(b'abc', self.outbox.payload())
         self.assertEqual(len(self.outbox.sent), ended.count)
-        started = self.fed[0]
+        started = self.fed_events[0]
         self.assertEqual('epoch-1', started.epoch)
         self.assertEqual('a1@1', str(started.adapter))
 
@@ -50,7 +50,7 @@
             messages.Header('Connection', 'close'),
         )
         self.start('r1.1', headers=headers)
-        await self.until(events.RunEnded)
+        await self.wait_for_event(events.RunEnded)
         (head,) = self.endpoint.heads
         self.assertIn(b'X-Request-Id: r1.1\r\n', head)
         self.assertNotIn(b'of-the-caller', head)
@@ -66,9 +66,9 @@
             write_parts(CHUNKED, chunk(b'of another'), LAST_CHUNK)
         )
         self.start()
-        await self.until(events.RunStarted)
+        await self.wait_for_event(events.RunStarted)
         self.calls.cancel(effects.CancelRun('r1.1'))
-        await self.until(events.CancelConfirmed)
+        await self.wait_for_event(events.CancelConfirmed)
         self.assertEqual([], self.outbox.sent)
 
     async def test_slow_reader_limits_the_buffered_bytes(self):
@@ -108,8 +108,8 @@
         await self.wait_until(lambda: all(run.body_bytes for run in runs))
         self.assertEqual([], self.outbox.sent)
         self.outbox.reports_congestion = False
-        self.calls.relieve('g1')
-        await self.wait_until(lambda: len(self.fed) == 4)
+        self.calls.resume_sending('g1')
+        await self.wait_until(lambda: len(self.fed_events) == 4)
         self.assertEqual(b'aa', self.outbox.payload())
 
     async def test_frames_are_kept_until_acknowledged(self):
@@ -120,7 +120,7 @@
         """
         await self.begin(write_parts(CHUNKED, chunk(b'abc'), LAST_CHUNK))
         self.start()
-        await self.until(events.RunEnded)
+        await self.wait_for_event(events.RunEnded)
         del self.outbox.sent[:]
         self.calls.resend(effects.ResendFrames('r1.1', 'g2', 0))
         self.assertEqual({'g2'}, {peer for peer, _ in self.outbox.sent})
@@ -136,14 +136,14 @@
         """Run against a script and return the RunFailed event."""
         await self.begin(script)
         self.start()
-        failed = await self.until(events.RunFailed)
+        failed = await self.wait_for_event(events.RunFailed)
         self.assertNotIn(events.RunEnded, self.event_types())
         return failed
 
     async def test_refused_connection_is_not_run(self):
         await self.connect(await sidecar_helper.unreachable_url())
         self.start()
-        failed = await self.until(events.RunFailed)
+        failed = await self.wait_for_event(events.RunFailed)
         self.assertEqual(errors.Ran.NOT_RUN, failed.ran)
         self.assertFalse(failed.crashed)
 
@@ -176,7 +176,7 @@
         """
         await self.begin(write_parts())
         self.start(method='PUT', idempotent=False)
-        await self.until(events.RunFailed)
+        await self.wait_for_event(events.RunFailed)
         self.assertEqual(1, len(self.endpoint.heads))
 
     async def test_truncated_bodies_are_failures(self):
@@ -194,7 +194,7 @@
         }
         for name, parts in cut.items():
             with self.subTest(name):
-                self.fed.clear()
+                self.fed_events.clear()
                 failed = await self.run_until_failure(
                     _close_after(write_parts(*parts))
                 )
@@ -206,7 +206,7 @@
         done = (chunk(b'data: {}\n\ndata: [DO'), chunk(b'NE]\n\n'))
         await self.begin(write_parts(EVENT_STREAM, *done, LAST_CHUNK))
         self.start()
-        await self.until(events.RunEnded)
+        await self.wait_for_event(events.RunEnded)
 
     async def test_unexpected_library_error_fails_the_run(self):
         """Guards against a task that ends without an event for its run.
@@ -218,7 +218,7 @@
         bad = messages.Header('X-Odd', 'one\r\ntwo')
         with self.assertLogs(level='ERROR'):
             self.start(headers=(bad,))
-            failed = await self.until(events.RunFailed)
+            failed = await self.wait_for_event(events.RunFailed)
         self.assertEqual(errors.Kind.INTERNAL, failed.kind)
         self.assertFalse(failed.crashed)
 
@@ -235,7 +235,7 @@
         await self.begin(hang)
         self.start()
         self.calls.cancel(effects.CancelRun('r1.1'))
-        await self.until(events.CancelConfirmed)
+        await self.wait_for_event(events.CancelConfirmed)
         self.assertEqual(3, self.control.cancel_calls)
         self.assertEqual([events.CancelConfirmed], self.event_types())
 
@@ -247,9 +247,9 @@
         self.control.results = [False]
         await self.begin(script)
         self.start()
-        await self.until(events.RunStarted)
+        await self.wait_for_event(events.RunStarted)
         self.calls.cancel(effects.CancelRun('r1.1'))
-        await self.until(events.CancelConfirmed)
+        await self.wait_for_event(events.CancelConfirmed)
         self.assertEqual(1, self.control.cancel_calls)
 
     async def test_cancel_of_an_unknown_run_is_confirmed(self):
--- a/test/test_sidecar_shell.py
+++ b/test/test_sidecar_shell.py
@@ -53,7 +53,7 @@
             self.platform_url, self.endpoint_url, **changes
         )
         state = builders.sidecar_state(
-            status_poll_ms=10, report_ms=10, farewell_ms=10
+            status_poll_ms=10, report_ms=10, link_close_timeout_ms=10
         )
         return _shell.Shell(settings, reduce, state, lambda *_: None)
 
@@ -170,7 +170,7 @@
         self.shell.links.on_writable = lambda peer: writable.set()
         link = self.shell.links.by_peer['g1']
         link.queued_bytes = link.options.congested_bytes + 1
-        self.assertTrue(self.shell.links.congested('g1'))
+        self.assertTrue(self.shell.links.is_congested('g1'))
         link.queued_bytes = 0
         await writable.wait()
 
@@ -224,10 +224,10 @@
         )
         adapter = builders.adapter()
         order = effects.LoadAdapter('o1', 0, adapter, 1, 'epoch-1', 1000)
-        self.fed.clear()
+        self.fed_events.clear()
         with self.assertLogs(level='WARNING'):
             calls.load(order)
-            return await self.until(events.LoadFailed)
+            return await self.wait_for_event(events.LoadFailed)
 
     async def test_only_refused_and_unsent_orders_are_not_done(self):
         """A request is answered by an adapter that it did not ask for.
@@ -240,8 +240,8 @@
         not_done = events.Certainty.NOT_DONE
         reasons = events.LoadFailure
         cases = (
-            (outgoing.MaybeDone('lost'), unknown, reasons.NO_ANSWER),
-            (outgoing.NotDone('down'), not_done, reasons.NO_ANSWER),
+            (outgoing.CallOutcomeUnknown('lost'), unknown, reasons.NO_ANSWER),
+            (outgoing.CallNotSent('down'), not_done, reasons.NO_ANSWER),
             (_refused('stale_fence'), not_done, reasons.STALE_FENCE),
             (_refused('wrong_epoch'), not_done, reasons.WRONG_EPOCH),
             (_refused('weights_unavailable'), not_done, reasons.WEIGHTS),
@@ -257,4 +257,4 @@
 
 
 def _refused(kind):
-    return outgoing.Refused(kind, 409)
+    return outgoing.CallRefused(kind, 409)
--- a/test/test_startup.py
+++ b/test/test_startup.py
@@ -12,10 +12,10 @@
 
 class CertificatesTest(unittest.TestCase):
     def environment_after(self, arguments, **environment):
-        """Return the environment of a process after ``hasten``."""
+        """Return the environment of a process after ``speed_up_imports``."""
         self.addCleanup(gc.set_threshold, *gc.get_threshold())
         with mock.patch.dict(os.environ, environment, clear=True):
-            startup.hasten(arguments)
+            startup.speed_up_imports(arguments)
             return dict(os.environ)
 
     def test_process_without_tls_reads_no_certificates(self):
--- a/test/workspaces/test_allowance.py
+++ b/test/workspaces/test_allowance.py
@@ -167,7 +167,7 @@
         self.allowance = workspaces.Allowance(self.quota, 0)
 
     def update(self, spent, own_spent=0, at_ms=0, book='b', asked=0):
-        totals = workspaces.Sum('w', spent, asked, own_spent, 0)
+        totals = workspaces.UsageTotals('w', spent, asked, own_spent, 0)
         self.allowance.update_totals('s', book, totals, 0.99, at_ms)
 
     def test_request_that_did_not_run_is_given_back(self):
@@ -212,8 +212,8 @@
         self.book = workspaces.Book()
 
     def report(self, gateway, spent, incarnation='1', asked=0, at_ms=0):
-        use = workspaces.Use('w', spent, asked)
-        (totals,) = self.book.tell(gateway, incarnation, (use,), at_ms)
+        use = workspaces.GatewayUsage('w', spent, asked)
+        (totals,) = self.book.record_usage(gateway, incarnation, (use,), at_ms)
         return totals
 
     def test_spending_is_added_up_from_the_first_report_on(self):
--- a/tools/capacity/ring.py
+++ b/tools/capacity/ring.py
@@ -34,7 +34,7 @@
     readers = []
     for domain in range(DOMAINS):
         own = names[domain::DOMAINS]
-        readers += _ranking.chosen('readers', own, READERS_PER_DOMAIN)
+        readers += _ranking.choose('readers', own, READERS_PER_DOMAIN)
     return readers
 
 
@@ -64,8 +64,8 @@
         edge = {
             other
             for name in edge
-            for other in _ranking.chosen(
-                name, links[name], _spread.MOST_GATEWAY_TARGETS
+            for other in _ranking.choose(
+                name, links[name], _spread.MAX_GATEWAY_TARGETS
             )
         } - reached
         if not edge:
--- a/tools/matrix/_guards.py
+++ b/tools/matrix/_guards.py
@@ -201,7 +201,7 @@
 
 def without_farewell(original):
     def tick(state, at_ms):
-        state.farewells.clear()
+        state.awaited_gateways.clear()
         return original(state, at_ms)
 
     return tick
@@ -229,7 +229,7 @@
     def install(history, data):
         history.state = configuration.from_snapshot(data)
         history.recent.clear()
-        history.packed = None
+        history.encoded_state = None
         return True
 
     return install
@@ -237,7 +237,7 @@
 
 def without_monotone_service(original):
     def advance(follower, at_ms):
-        if follower.current is not None or follower.knows_newest(at_ms):
+        if follower.current is not None or follower.has_newest_revision(at_ms):
             follower.current = follower.history.state.configuration
 
     return advance
@@ -265,11 +265,11 @@
     Guard(
         'pin by name',
         _orders,
-        '_in_use',
+        '_is_in_use',
         without_names,
         'evict unfenced',
         ('load hangs',),
-        also=(_orders, 'ordered', without_homes),
+        also=(_orders, 'mark_ordered', without_homes),
     ),
     Guard(
         'epoch check',
@@ -374,7 +374,7 @@
     Guard(
         'newest before serving',
         _follower.Follower,
-        'knows_newest',
+        'has_newest_revision',
         without_knowing,
         'replace all',
         ('log down',),
--- a/tools/measure_configuration.py
+++ b/tools/measure_configuration.py
@@ -204,7 +204,7 @@
         pairs = set()
         for name in self.gateways:
             state = gateway.State(
-                gateway.Options(name), following.NothingToFollow()
+                gateway.Options(name), following.NullFollower()
             )
             state.peers = dict.fromkeys(x for x in self.gateways if x != name)
             pairs |= {frozenset((name, x)) for x in _peers.chosen_peers(state)}
--- a/tools/quota_model.py
+++ b/tools/quota_model.py
@@ -148,8 +148,8 @@
         if (gateway.number, number) in self.cut:
             return
         book = f'{number}-{self.book_starts[number]}'
-        if isinstance(content, workspaces.Use):
-            (found,) = self.books[number].tell(
+        if isinstance(content, workspaces.GatewayUsage):
+            (found,) = self.books[number].record_usage(
                 str(gateway.number), str(incarnation), (content,), self.now_ms
             )
             due_ms = self.now_ms + self.delay_ms
