--- a/test/hosted/test_gateway_direct.py
+++ b/test/hosted/test_gateway_direct.py
@@ -551,6 +551,22 @@
         self.send_request(fingerprint='good')
         self.assertEqual(1, len(self.offers()))
 
+    def test_one_crash_reported_by_two_gateways_counts_once(self):
+        """Guards against a quarantine after a single crash.
+
+        An endpoint is killed once. Two gateways each lost the same request
+        there, which many callers send, and each reports the crash.
+        """
+        self.crash_endpoint(1, 'same')
+        (crash_id,) = self.state.suspects.suspicions['same'].crash_ids
+        endpoint, _, _ = crash_id.rpartition(' at ')
+        reported = messages.Crashed(
+            f'{endpoint} at g9', builders.PLAIN_SERVICE, ('same',)
+        )
+        self.feed(events.MessageReceived(1, 'sidecar', reported))
+        self.send_request(fingerprint='same', at_ms=2)
+        self.assertEqual(1, len(self.offers()))
+
     def test_broken_connection_to_a_running_endpoint_is_no_crash(self):
         """Endpoints lose answers for a while but keep running."""
         self.list_instances(plain('i-1', '10.0.0.1:80'))
