--- a/test/hosted/hosted_helper.py
+++ b/test/hosted/hosted_helper.py
@@ -6,7 +6,6 @@
 import os
 import pathlib
 import signal
-import socket
 import sys
 import tempfile
 import unittest
@@ -19,6 +18,7 @@
 from berylhollow.standin import direct_endpoint
 from berylhollow.standin import metadata_store
 from test import platform_builders as builders
+from tools.capacity import processes
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
 HANG_S = 60
@@ -47,16 +47,6 @@
 """
 
 
-def free_ports(count):
-    """Return free ports in ascending order."""
-    with contextlib.ExitStack() as stack:
-        sockets = [
-            stack.enter_context(socket.create_server(('127.0.0.1', 0)))
-            for _ in range(count)
-        ]
-        return sorted(found.getsockname()[1] for found in sockets)
-
-
 class Process:
     """One program as a process; its log lines are kept."""
 
@@ -108,7 +98,7 @@
         self.stack = contextlib.AsyncExitStack()
         self.addAsyncCleanup(self.stack.aclose)
         self.folder = self.stack.enter_context(tempfile.TemporaryDirectory())
-        self.ports = free_ports(5)
+        self.ports = sorted(processes.free_ports(5))
         self.store = metadata_store.MetadataStore()
         self.store_port = await self.serve(self.store)
         self.model = direct_endpoint.DirectEndpoint('i-model')
