--- a/tools/soak/_world.py
+++ b/tools/soak/_world.py
@@ -7,12 +7,12 @@
 import os
 import pathlib
 import signal
-import socket
 import sys
 
 import aiohttp
 
 from berylhollow import platform
+from tools.capacity import processes
 from tools.soak import _proxy
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
@@ -110,7 +110,9 @@
 
     def __init__(self, folder: str, gateways: int, models: int, plain: int):
         self.folder = pathlib.Path(folder)
-        self.link_port, self.metrics_port, *rest = free_ports(7)
+        self.link_port, self.metrics_port, *rest = sorted(
+            processes.free_ports(7)
+        )
         self.callers_port, self.ready_port, self.endpoint_port = rest[:3]
         self.store_port, self.control_port = rest[3:5]
         self.gateways = [f'g{number}' for number in range(gateways)]
@@ -314,13 +316,3 @@
         for proxy in self.proxies.values():
             await proxy.close()
         await self.session.close()
-
-
-def free_ports(count: int) -> list[int]:
-    """Return ports that nobody listens on, in rising order."""
-    with contextlib.ExitStack() as stack:
-        found = [
-            stack.enter_context(socket.create_server(('127.0.0.1', 0)))
-            for _ in range(count)
-        ]
-        return sorted(taken.getsockname()[1] for taken in found)
